--- a/cli/src/main/java/ironwind/cli/Check.java
+++ b/cli/src/main/java/ironwind/cli/Check.java
@@ -14,19 +14,24 @@
 import picocli.CommandLine.Spec;
 
 /** Check a configuration without starting anything. */
-@Command(name = "check", mixinStandardHelpOptions = true,
-        description = "Check an installation's HCL file; all that is wrong is told at once, by file and line.")
+@Command(
+        name = "check",
+        mixinStandardHelpOptions = true,
+        description =
+                "Check an installation's HCL file; all that is wrong is told at once, by file and line.")
 final class Check implements Callable<Integer> {
     /** What a router has where nobody says otherwise: DEPLOY's limits. */
-    private static final Limits USUAL = Limits.of(535, 192, Span.ofMillis(1_000), Span.ofMillis(3_000));
+    private static final Limits USUAL =
+            Limits.of(535, 192, Span.ofMillis(1_000), Span.ofMillis(3_000));
 
-    @Spec
-    private CommandSpec spec;
+    @Spec private CommandSpec spec;
 
     @Parameters(paramLabel = "FILE")
     private Path file;
 
-    @Option(names = "--facts", paramLabel = "FILE",
+    @Option(
+            names = "--facts",
+            paramLabel = "FILE",
             description = "JSON of a router's start facts, from which the defaults come.")
     private Path facts;
 
--- a/cli/src/main/java/ironwind/cli/LabKeeper.java
+++ b/cli/src/main/java/ironwind/cli/LabKeeper.java
@@ -7,10 +7,17 @@
 import picocli.CommandLine.Option;
 
 /** What deciding costs. */
-@Command(name = "keeper", mixinStandardHelpOptions = true,
-        description = "Measure what deciding on connections costs, and what is kept of each, without sockets.")
+@Command(
+        name = "keeper",
+        mixinStandardHelpOptions = true,
+        description =
+                "Measure what deciding on connections costs, and what is kept of each, without sockets.")
 final class LabKeeper implements Callable<Integer> {
-    @Option(names = "--connections", split = ",", defaultValue = "1000,10000,100000", paramLabel = "N",
+    @Option(
+            names = "--connections",
+            split = ",",
+            defaultValue = "1000,10000,100000",
+            paramLabel = "N",
             description = "Connections kept (default: ${DEFAULT-VALUE}).")
     private List<Integer> sizes;
 
--- a/cli/src/main/java/ironwind/cli/LabSockets.java
+++ b/cli/src/main/java/ironwind/cli/LabSockets.java
@@ -6,10 +6,16 @@
 import picocli.CommandLine.Option;
 
 /** What a connection costs by the layers above its socket. */
-@Command(name = "sockets", mixinStandardHelpOptions = true,
-        description = "Measure the live heap of one accepted connection by the layers above its socket.")
+@Command(
+        name = "sockets",
+        mixinStandardHelpOptions = true,
+        description =
+                "Measure the live heap of one accepted connection by the layers above its socket.")
 final class LabSockets implements Callable<Integer> {
-    @Option(names = "--connections", defaultValue = "4000", description = "How many (default: ${DEFAULT-VALUE}).")
+    @Option(
+            names = "--connections",
+            defaultValue = "4000",
+            description = "How many (default: ${DEFAULT-VALUE}).")
     private int connections;
 
     @Option(names = "--way", defaultValue = "vertx", description = "${COMPLETION-CANDIDATES}")
--- a/cli/src/main/java/ironwind/cli/LibrarySink.java
+++ b/cli/src/main/java/ironwind/cli/LibrarySink.java
@@ -15,7 +15,8 @@
 
 /** Log lines by way of SLF4J and logback, with what else in the program logs there. */
 final class LibrarySink implements Log.Sink {
-    private static final String PAIRS = "%d{\"yyyy-MM-dd'T'HH:mm:ss.SSS'Z'\", UTC} %level %msg %kvp{DOUBLE}%n";
+    private static final String PAIRS =
+            "%d{\"yyyy-MM-dd'T'HH:mm:ss.SSS'Z'\", UTC} %level %msg %kvp{DOUBLE}%n";
 
     private final org.slf4j.Logger logger;
 
@@ -49,11 +50,12 @@
 
     @Override
     public void line(Log.Level level, String event, Object... pairs) {
-        LoggingEventBuilder line = switch (level) {
-            case INFO -> logger.atInfo();
-            case WARN -> logger.atWarn();
-            case ERROR -> logger.atError();
-        };
+        LoggingEventBuilder line =
+                switch (level) {
+                    case INFO -> logger.atInfo();
+                    case WARN -> logger.atWarn();
+                    case ERROR -> logger.atError();
+                };
         for (int i = 0; i + 1 < pairs.length; i += 2) {
             line = line.addKeyValue(pairs[i].toString(), String.valueOf(pairs[i + 1]));
         }
--- a/cli/src/test/java/ironwind/cli/LibrarySinkTest.java
+++ b/cli/src/test/java/ironwind/cli/LibrarySinkTest.java
@@ -33,10 +33,11 @@
             JsonObject first = new JsonObject(lines[0]);
             assertThat(first.getString("message")).isEqualTo("ready");
             assertThat(first.getString("level")).isEqualTo("INFO");
-            assertThat(first.getJsonArray("kvpList").encode()).isEqualTo(
-                    "[{\"name\":\"n1\"},{\"words\":\"two \\\"words\\\"\"}]");
+            assertThat(first.getJsonArray("kvpList").encode())
+                    .isEqualTo("[{\"name\":\"n1\"},{\"words\":\"two \\\"words\\\"\"}]");
         } else {
-            assertThat(lines[0]).matches("20\\S+Z INFO ready name=\"n1\" words=\"two .*words.*\"\\s*");
+            assertThat(lines[0])
+                    .matches("20\\S+Z INFO ready name=\"n1\" words=\"two .*words.*\"\\s*");
             assertThat(lines[1]).matches("20\\S+Z WARN client_refused open=\"7\"\\s*");
         }
     }
--- a/lab/src/main/java/ironwind/lab/ActiveLoad.java
+++ b/lab/src/main/java/ironwind/lab/ActiveLoad.java
@@ -12,8 +12,9 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Clients that ask all the time, at a rate that does not depend on the answers: a time counts from when its question
- * was due, so that one that had to wait for a free connection is not made to look better.
+ * Clients that ask all the time, at a rate that does not depend on the answers: a time counts from
+ * when its question was due, so that one that had to wait for a free connection is not made to look
+ * better.
  */
 final class ActiveLoad implements AutoCloseable {
     private static final long LONGEST_US = 60_000_000;
@@ -38,24 +39,29 @@
             throws IOException, InterruptedException {
         this.perSecond = perSecond;
         CountDownLatch up = new CountDownLatch(connections);
-        LabClient.Listener listener = new LabClient.Listener() {
-            @Override
-            public void greeted(LabClient client) {
-                up.countDown();
-            }
+        LabClient.Listener listener =
+                new LabClient.Listener() {
+                    @Override
+                    public void greeted(LabClient client) {
+                        up.countDown();
+                    }
 
-            @Override
-            public void answered(LabClient client, Answer answer, long due) {
-                round.answers.merge(answer, 1, Integer::sum);
-                round.micros.recordValue(Math.min(LONGEST_US, Math.max(0, System.nanoTime() - due) / 1_000));
-            }
-        };
-        loop.post(() -> {
-            for (int i = 0; i < connections; i++) {
-                InetSocketAddress from = new InetSocketAddress("127.8.0.1", 0);
-                clients.add(LabClient.connect(loop, from, routers.get(i % routers.size()), listener));
-            }
-        });
+                    @Override
+                    public void answered(LabClient client, Answer answer, long due) {
+                        round.answers.merge(answer, 1, Integer::sum);
+                        round.micros.recordValue(
+                                Math.min(LONGEST_US, Math.max(0, System.nanoTime() - due) / 1_000));
+                    }
+                };
+        loop.post(
+                () -> {
+                    for (int i = 0; i < connections; i++) {
+                        InetSocketAddress from = new InetSocketAddress("127.8.0.1", 0);
+                        clients.add(
+                                LabClient.connect(
+                                        loop, from, routers.get(i % routers.size()), listener));
+                    }
+                });
         up.await();
     }
 
@@ -63,11 +69,12 @@
     Round play(double seconds) throws InterruptedException {
         Round now = new Round();
         CountDownLatch over = new CountDownLatch(1);
-        loop.post(() -> {
-            round = now;
-            long begin = System.nanoTime();
-            ask(begin, 0, (long) (seconds * perSecond), over);
-        });
+        loop.post(
+                () -> {
+                    round = now;
+                    long begin = System.nanoTime();
+                    ask(begin, 0, (long) (seconds * perSecond), over);
+                });
         over.await();
         return now;
     }
--- a/lab/src/main/java/ironwind/lab/Crowd.java
+++ b/lab/src/main/java/ironwind/lab/Crowd.java
@@ -14,17 +14,25 @@
 import java.util.concurrent.CountDownLatch;
 
 /**
- * A process that holds many connections to routers. Commands come on standard input, a line each, and each gets one
- * line on standard output: {@code open N}, {@code wake MS}, {@code slow N BYTES}, {@code count}, {@code quit}.
+ * A process that holds many connections to routers. Commands come on standard input, a line each,
+ * and each gets one line on standard output: {@code open N}, {@code wake MS}, {@code slow N BYTES},
+ * {@code count}, {@code quit}.
  */
 public final class Crowd {
     /** Coming up at one time. */
     private static final int AT_ONCE = 128;
+
     /** So many of one source address: each has its own ports. */
     private static final int OF_ONE_ADDRESS = 4_000;
+
     private static final int AHEAD = 8;
-    /** So many of the slow readers ask in a second: it is their not reading that is looked at, not their asking. */
+
+    /**
+     * So many of the slow readers ask in a second: it is their not reading that is looked at, not
+     * their asking.
+     */
     private static final int SLOW_PER_SECOND = 200;
+
     private static final int SLOW_BUFFER = 4_096;
     private static final long SECOND = 1_000_000_000L;
     private static final long OPEN_WAITS_MS = 30_000;
@@ -48,15 +56,19 @@
             routers.add(new InetSocketAddress("127.0.0.1", Integer.parseInt(args[i])));
         }
         Crowd crowd = new Crowd(Integer.parseInt(args[0]), routers);
-        BufferedReader in = new BufferedReader(new InputStreamReader(System.in, StandardCharsets.UTF_8));
-        for (String line = in.readLine(); line != null && !line.equals("quit"); line = in.readLine()) {
+        BufferedReader in =
+                new BufferedReader(new InputStreamReader(System.in, StandardCharsets.UTF_8));
+        for (String line = in.readLine();
+                line != null && !line.equals("quit");
+                line = in.readLine()) {
             String[] words = line.split(" ");
-            System.out.println(switch (words[0]) {
-                case "open" -> crowd.open(Integer.parseInt(words[1]), true);
-                case "wake" -> crowd.wake(Long.parseLong(words[1]));
-                case "slow" -> crowd.slow(Integer.parseInt(words[1]), words[2]);
-                default -> crowd.count();
-            });
+            System.out.println(
+                    switch (words[0]) {
+                        case "open" -> crowd.open(Integer.parseInt(words[1]), true);
+                        case "wake" -> crowd.wake(Long.parseLong(words[1]));
+                        case "slow" -> crowd.slow(Integer.parseInt(words[1]), words[2]);
+                        default -> crowd.count();
+                    });
         }
     }
 
@@ -74,43 +86,45 @@
         CountDownLatch done = new CountDownLatch(more);
         long begun = System.nanoTime();
         int[] left = {more};
-        LabClient.Listener listener = new LabClient.Listener() {
-            @Override
-            public void greeted(LabClient client) {
-                if (asks) {
-                    client.read(id(), "k", OPEN_WAITS_MS, 0);
-                } else {
-                    end(Answer.OK);
-                }
-            }
-
-            @Override
-            public void answered(LabClient client, Answer answer, long at) {
-                end(answer);
-            }
-
-            @Override
-            public void ended(LabClient client) {
-                end(Answer.CLOSED);
-            }
-
-            private void end(Answer answer) {
-                if (done.getCount() > 0) {
-                    answers.merge(answer, 1, Integer::sum);
-                    done.countDown();
-                    if (left[0] > 0) {
+        LabClient.Listener listener =
+                new LabClient.Listener() {
+                    @Override
+                    public void greeted(LabClient client) {
+                        if (asks) {
+                            client.read(id(), "k", OPEN_WAITS_MS, 0);
+                        } else {
+                            end(Answer.OK);
+                        }
+                    }
+
+                    @Override
+                    public void answered(LabClient client, Answer answer, long at) {
+                        end(answer);
+                    }
+
+                    @Override
+                    public void ended(LabClient client) {
+                        end(Answer.CLOSED);
+                    }
+
+                    private void end(Answer answer) {
+                        if (done.getCount() > 0) {
+                            answers.merge(answer, 1, Integer::sum);
+                            done.countDown();
+                            if (left[0] > 0) {
+                                left[0]--;
+                                clients.add(connect(this, asks ? 0 : SLOW_BUFFER));
+                            }
+                        }
+                    }
+                };
+        loop.post(
+                () -> {
+                    for (int i = 0; i < AT_ONCE && left[0] > 0; i++) {
                         left[0]--;
-                        clients.add(connect(this, asks ? 0 : SLOW_BUFFER));
+                        clients.add(connect(listener, asks ? 0 : SLOW_BUFFER));
                     }
-                }
-            }
-        };
-        loop.post(() -> {
-            for (int i = 0; i < AT_ONCE && left[0] > 0; i++) {
-                left[0]--;
-                clients.add(connect(listener, asks ? 0 : SLOW_BUFFER));
-            }
-        });
+                });
         done.await();
         return words(answers, System.nanoTime() - begun);
     }
@@ -121,9 +135,10 @@
 
     private LabClient connect(LabClient.Listener listener, int receiveBuffer) {
         int address = opened / OF_ONE_ADDRESS;
-        InetSocketAddress from = new InetSocketAddress("127." + (16 + number) + ".0." + (1 + address), 0);
-        return LabClient.connect(loop, from, routers.get(opened++ % routers.size()), listener,
-                receiveBuffer);
+        InetSocketAddress from =
+                new InetSocketAddress("127." + (16 + number) + ".0." + (1 + address), 0);
+        return LabClient.connect(
+                loop, from, routers.get(opened++ % routers.size()), listener, receiveBuffer);
     }
 
     /** All that are open ask at one time; ends when each is answered, or has been closed. */
@@ -133,20 +148,22 @@
         CountDownLatch[] done = new CountDownLatch[1];
         long[] sentIn = {0};
         long begun = System.nanoTime();
-        LabClient.Listener listener = (client, answer, at) -> {
-            answers.merge(answer, 1, Integer::sum);
-            done[0].countDown();
-        };
-        loop.post(() -> {
-            List<LabClient> awake = clients.stream().filter(LabClient::isFree).toList();
-            done[0] = new CountDownLatch(awake.size());
-            for (LabClient client : awake) {
-                client.listenTo(listener);
-                client.read(id(), "k", waitsMs, 0);
-            }
-            sentIn[0] = System.nanoTime() - begun;
-            posted.countDown();
-        });
+        LabClient.Listener listener =
+                (client, answer, at) -> {
+                    answers.merge(answer, 1, Integer::sum);
+                    done[0].countDown();
+                };
+        loop.post(
+                () -> {
+                    List<LabClient> awake = clients.stream().filter(LabClient::isFree).toList();
+                    done[0] = new CountDownLatch(awake.size());
+                    for (LabClient client : awake) {
+                        client.listenTo(listener);
+                        client.read(id(), "k", waitsMs, 0);
+                    }
+                    sentIn[0] = System.nanoTime() - begun;
+                    posted.countDown();
+                });
         posted.await();
         done[0].await();
         return words(answers, System.nanoTime() - begun) + " sent_ms=" + sentIn[0] / 1_000_000;
@@ -156,19 +173,23 @@
     private String slow(int more, String bytes) throws InterruptedException {
         String line = open(more, false);
         CountDownLatch posted = new CountDownLatch(1);
-        loop.post(() -> {
-            long now = System.nanoTime();
-            for (LabClient client : clients.subList(clients.size() - more, clients.size())) {
-                now += SECOND / SLOW_PER_SECOND;
-                loop.at(now, () -> {
-                    if (client.isFree()) {
-                        client.listenTo((deaf, answer, at) -> { });
-                        client.readDeaf(id(), "big-" + bytes, OPEN_WAITS_MS, AHEAD);
+        loop.post(
+                () -> {
+                    long now = System.nanoTime();
+                    for (LabClient client :
+                            clients.subList(clients.size() - more, clients.size())) {
+                        now += SECOND / SLOW_PER_SECOND;
+                        loop.at(
+                                now,
+                                () -> {
+                                    if (client.isFree()) {
+                                        client.listenTo((deaf, answer, at) -> {});
+                                        client.readDeaf(id(), "big-" + bytes, OPEN_WAITS_MS, AHEAD);
+                                    }
+                                });
                     }
+                    posted.countDown();
                 });
-            }
-            posted.countDown();
-        });
         posted.await();
         return line;
     }
@@ -176,10 +197,11 @@
     private String count() throws InterruptedException {
         CountDownLatch counted = new CountDownLatch(1);
         long[] open = {0};
-        loop.post(() -> {
-            open[0] = clients.stream().filter(LabClient::isOpen).count();
-            counted.countDown();
-        });
+        loop.post(
+                () -> {
+                    open[0] = clients.stream().filter(LabClient::isOpen).count();
+                    counted.countDown();
+                });
         counted.await();
         return "open=" + open[0];
     }
--- a/lab/src/main/java/ironwind/lab/CrowdProcess.java
+++ b/lab/src/main/java/ironwind/lab/CrowdProcess.java
@@ -19,12 +19,25 @@
     private final BufferedReader from;
 
     CrowdProcess(int number, List<InetSocketAddress> routers) throws IOException {
-        List<String> command = new ArrayList<>(List.of(RouterProcess.java(), "-XX:+UseSerialGC", "-Xmx768m", "-cp",
-                System.getProperty("java.class.path"), Crowd.class.getName(), Integer.toString(number)));
+        List<String> command =
+                new ArrayList<>(
+                        List.of(
+                                RouterProcess.java(),
+                                "-XX:+UseSerialGC",
+                                "-Xmx768m",
+                                "-cp",
+                                System.getProperty("java.class.path"),
+                                Crowd.class.getName(),
+                                Integer.toString(number)));
         routers.forEach(router -> command.add(Integer.toString(router.getPort())));
-        process = new ProcessBuilder(command).redirectError(ProcessBuilder.Redirect.INHERIT).start();
-        to = new BufferedWriter(new OutputStreamWriter(process.getOutputStream(), StandardCharsets.UTF_8));
-        from = new BufferedReader(new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8));
+        process =
+                new ProcessBuilder(command).redirectError(ProcessBuilder.Redirect.INHERIT).start();
+        to =
+                new BufferedWriter(
+                        new OutputStreamWriter(process.getOutputStream(), StandardCharsets.UTF_8));
+        from =
+                new BufferedReader(
+                        new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8));
     }
 
     /** Gives an order, without waiting for its answer. */
--- a/lab/src/main/java/ironwind/lab/IdleTrial.java
+++ b/lab/src/main/java/ironwind/lab/IdleTrial.java
@@ -1,11 +1,11 @@
 package ironwind.lab;
 
+import io.vertx.core.json.JsonArray;
+import io.vertx.core.json.JsonObject;
 import ironwind.lab.ActiveLoad.Round;
 import ironwind.standin.Loop;
 import ironwind.standin.StandInDiscovery;
 import ironwind.standin.StandInHost;
-import io.vertx.core.json.JsonArray;
-import io.vertx.core.json.JsonObject;
 import java.io.IOException;
 import java.io.PrintStream;
 import java.net.InetSocketAddress;
@@ -21,8 +21,9 @@
 import java.util.regex.Pattern;
 
 /**
- * What idle connections cost: routers on one core, crowds that hold connections to them, clients that ask all the
- * time. The same is done to each text of the program, one after another in one run.
+ * What idle connections cost: routers on one core, crowds that hold connections to them, clients
+ * that ask all the time. The same is done to each text of the program, one after another in one
+ * run.
  */
 public final class IdleTrial {
     private static final int HOSTS = 3;
@@ -48,9 +49,17 @@
      * @param slowReaders at the end so many ask for 64 KiB again and again, and read nothing
      * @param core the routers' core; negative leaves that to the system
      */
-    public record Plan(Map<String, Path> texts, List<Integer> sizes, int routers, int perSecond, double seconds,
-            long wakeMs, int slowReaders, int core, int heapMb, Path hcl) {
-    }
+    public record Plan(
+            Map<String, Path> texts,
+            List<Integer> sizes,
+            int routers,
+            int perSecond,
+            double seconds,
+            long wakeMs,
+            int slowReaders,
+            int core,
+            int heapMb,
+            Path hcl) {}
 
     public IdleTrial(Plan plan, PrintStream out) {
         this.plan = plan;
@@ -60,15 +69,26 @@
     /** Figures of every text and size, as they are printed. */
     public JsonArray run() throws IOException, InterruptedException {
         JsonArray all = new JsonArray();
-        out.printf("%-8s %8s %9s %9s %9s %7s %8s %8s %8s %7s%n", "text", "idle", "heap KB/c", "rss KB/c", "kern KB/c",
-                "cpu %", "p50 ms", "p99 ms", "p99.9 ms", "not ok");
+        out.printf(
+                "%-8s %8s %9s %9s %9s %7s %8s %8s %8s %7s%n",
+                "text",
+                "idle",
+                "heap KB/c",
+                "rss KB/c",
+                "kern KB/c",
+                "cpu %",
+                "p50 ms",
+                "p99 ms",
+                "p99.9 ms",
+                "not ok");
         for (Map.Entry<String, Path> text : plan.texts().entrySet()) {
             play(text.getKey(), text.getValue(), all);
         }
         return all;
     }
 
-    private void play(String name, Path jar, JsonArray all) throws IOException, InterruptedException {
+    private void play(String name, Path jar, JsonArray all)
+            throws IOException, InterruptedException {
         Path folder = Files.createTempDirectory("ironwind-idle");
         List<RouterProcess> routers = new ArrayList<>();
         List<CrowdProcess> crowds = new ArrayList<>();
@@ -79,11 +99,20 @@
             }
             try (StandInDiscovery discovery = new StandInDiscovery(hosts)) {
                 for (int i = 0; i < plan.routers(); i++) {
-                    routers.add(RouterProcess.start(jar, i, discovery.port(), folder, plan.core(), plan.heapMb(),
-                            plan.hcl()));
+                    routers.add(
+                            RouterProcess.start(
+                                    jar,
+                                    i,
+                                    discovery.port(),
+                                    folder,
+                                    plan.core(),
+                                    plan.heapMb(),
+                                    plan.hcl()));
                 }
-                List<InetSocketAddress> addresses = routers.stream().map(router -> router.address).toList();
-                try (ActiveLoad active = new ActiveLoad(addresses, ACTIVE_CONNECTIONS, plan.perSecond())) {
+                List<InetSocketAddress> addresses =
+                        routers.stream().map(router -> router.address).toList();
+                try (ActiveLoad active =
+                        new ActiveLoad(addresses, ACTIVE_CONNECTIONS, plan.perSecond())) {
                     active.play(Math.max(2, plan.seconds() / 2));
                     sizes(name, routers, crowds, addresses, active, all);
                     if (plan.wakeMs() > 0) {
@@ -98,8 +127,13 @@
                     double took = router.end();
                     slowest = took < 0 || slowest < 0 ? -1 : Math.max(slowest, took);
                 }
-                out.printf("%-8s all asked to end: the last was gone after %.2f s%n", name, slowest);
-                all.add(new JsonObject().put("text", name).put("what", "end").put("seconds", slowest));
+                out.printf(
+                        "%-8s all asked to end: the last was gone after %.2f s%n", name, slowest);
+                all.add(
+                        new JsonObject()
+                                .put("text", name)
+                                .put("what", "end")
+                                .put("seconds", slowest));
             }
         } finally {
             crowds.forEach(CrowdProcess::close);
@@ -107,11 +141,16 @@
         }
     }
 
-    private record Point(double liveKb, double residentKb, double kernelKb, Map<String, Long> classes) {
-    }
+    private record Point(
+            double liveKb, double residentKb, double kernelKb, Map<String, Long> classes) {}
 
-    private void sizes(String name, List<RouterProcess> routers, List<CrowdProcess> crowds,
-            List<InetSocketAddress> addresses, ActiveLoad active, JsonArray all)
+    private void sizes(
+            String name,
+            List<RouterProcess> routers,
+            List<CrowdProcess> crowds,
+            List<InetSocketAddress> addresses,
+            ActiveLoad active,
+            JsonArray all)
             throws IOException, InterruptedException {
         Point empty = null;
         int held = 0;
@@ -128,18 +167,33 @@
             empty = empty == null ? point : empty;
             long open = count(crowds);
             int more = Math.max(1, size - plan.sizes().get(0));
-            JsonObject figures = new JsonObject().put("text", name).put("what", "idle").put("idle", size)
-                    .put("still_open", open)
-                    .put("live_kb_each", (point.liveKb - empty.liveKb) / more)
-                    .put("resident_kb_each", (point.residentKb - empty.residentKb) / more)
-                    .put("kernel_kb_each", (point.kernelKb - empty.kernelKb) / more)
-                    .put("resident_kb", point.residentKb).put("live_kb", point.liveKb).put("cpu_percent", cpu);
+            JsonObject figures =
+                    new JsonObject()
+                            .put("text", name)
+                            .put("what", "idle")
+                            .put("idle", size)
+                            .put("still_open", open)
+                            .put("live_kb_each", (point.liveKb - empty.liveKb) / more)
+                            .put("resident_kb_each", (point.residentKb - empty.residentKb) / more)
+                            .put("kernel_kb_each", (point.kernelKb - empty.kernelKb) / more)
+                            .put("resident_kb", point.residentKb)
+                            .put("live_kb", point.liveKb)
+                            .put("cpu_percent", cpu);
             put(figures, round);
             all.add(figures);
-            out.printf("%-8s %8d %9.2f %9.2f %9.2f %7.2f %8.2f %8.2f %8.2f %7d%s%n", name, size,
-                    figures.getDouble("live_kb_each"), figures.getDouble("resident_kb_each"),
-                    figures.getDouble("kernel_kb_each"), cpu, millis(round, 50), millis(round, 99),
-                    millis(round, 99.9), notOk(round), open < size ? "  still open: " + open : "");
+            out.printf(
+                    "%-8s %8d %9.2f %9.2f %9.2f %7.2f %8.2f %8.2f %8.2f %7d%s%n",
+                    name,
+                    size,
+                    figures.getDouble("live_kb_each"),
+                    figures.getDouble("resident_kb_each"),
+                    figures.getDouble("kernel_kb_each"),
+                    cpu,
+                    millis(round, 50),
+                    millis(round, 99),
+                    millis(round, 99.9),
+                    notOk(round),
+                    open < size ? "  still open: " + open : "");
             if (size == plan.sizes().get(plan.sizes().size() - 1) && held > 0) {
                 classes(name, empty, point, more, all);
             }
@@ -148,18 +202,27 @@
 
     private void classes(String name, Point empty, Point point, int more, JsonArray all) {
         Map<String, Double> each = new TreeMap<>();
-        point.classes.forEach((type, bytes) ->
-                each.put(type, (bytes - empty.classes.getOrDefault(type, 0L)) / (double) more));
+        point.classes.forEach(
+                (type, bytes) ->
+                        each.put(
+                                type,
+                                (bytes - empty.classes.getOrDefault(type, 0L)) / (double) more));
         JsonObject found = new JsonObject();
-        each.entrySet().stream().sorted(Map.Entry.<String, Double>comparingByValue().reversed()).limit(SHOWN_CLASSES)
-                .forEach(entry -> {
-                    out.printf("%-8s   %7.1f bytes each  %s%n", name, entry.getValue(), entry.getKey());
-                    found.put(entry.getKey(), entry.getValue());
-                });
+        each.entrySet().stream()
+                .sorted(Map.Entry.<String, Double>comparingByValue().reversed())
+                .limit(SHOWN_CLASSES)
+                .forEach(
+                        entry -> {
+                            out.printf(
+                                    "%-8s   %7.1f bytes each  %s%n",
+                                    name, entry.getValue(), entry.getKey());
+                            found.put(entry.getKey(), entry.getValue());
+                        });
         all.add(new JsonObject().put("text", name).put("what", "classes").put("bytes_each", found));
     }
 
-    private void open(int more, List<CrowdProcess> crowds, List<InetSocketAddress> addresses) throws IOException {
+    private void open(int more, List<CrowdProcess> crowds, List<InetSocketAddress> addresses)
+            throws IOException {
         // One crowd at a time, so that each stays under what one process may hold.
         int left = more;
         while (left > 0) {
@@ -173,8 +236,9 @@
             CrowdProcess crowd = crowds.get(crowds.size() - 1);
             crowd.order("open " + now);
             Map<String, Long> answer = crowd.answer();
-            out.printf("opened %d, each asked once, in %d ms%s%n", now, answer.get("ms"),
-                    answer.get("OK") < now ? " with losses: " + answer : "");
+            out.printf(
+                    "opened %d, each asked once, in %d ms%s%n",
+                    now, answer.get("ms"), answer.get("OK") < now ? " with losses: " + answer : "");
             inLast += now;
             left -= now;
         }
@@ -203,10 +267,15 @@
         return new Point(RouterProcess.sum(classes), resident, kernelKb(), classes);
     }
 
-    /** Of both ends of all TCP connections of this machine: pages of their buffers, as the system counts them. */
+    /**
+     * Of both ends of all TCP connections of this machine: pages of their buffers, as the system
+     * counts them.
+     */
     private static double kernelKb() throws IOException {
-        Optional<String> line = Files.readAllLines(Path.of("/proc/net/sockstat")).stream()
-                .filter(each -> each.startsWith("TCP:")).findFirst();
+        Optional<String> line =
+                Files.readAllLines(Path.of("/proc/net/sockstat")).stream()
+                        .filter(each -> each.startsWith("TCP:"))
+                        .findFirst();
         Matcher matcher = MEMORY.matcher(line.orElse(""));
         return matcher.find() ? PAGE_KB * Double.parseDouble(matcher.group(1)) : 0;
     }
@@ -219,29 +288,47 @@
         return sum;
     }
 
-    private void wake(String name, List<RouterProcess> routers, List<CrowdProcess> crowds, JsonArray all)
+    private void wake(
+            String name, List<RouterProcess> routers, List<CrowdProcess> crowds, JsonArray all)
             throws IOException {
         for (CrowdProcess crowd : crowds) {
             crowd.order("wake " + plan.wakeMs());
         }
         Map<String, Long> sum = new TreeMap<>();
         for (CrowdProcess crowd : crowds) {
-            crowd.answer().forEach((key, value) ->
-                    sum.merge(key, value, key.endsWith("ms") ? Math::max : Long::sum));
+            crowd.answer()
+                    .forEach(
+                            (key, value) ->
+                                    sum.merge(
+                                            key,
+                                            value,
+                                            key.endsWith("ms") ? Math::max : Long::sum));
         }
         double highest = 0;
         for (RouterProcess router : routers) {
             highest = Math.max(highest, router.highestKb() / KILO);
         }
-        out.printf("%-8s all woke: %s, a router's highest resident size %.0f MB, routers alive %d of %d%n", name, sum,
-                highest, routers.stream().filter(RouterProcess::isAlive).count(), routers.size());
-        JsonObject figures = new JsonObject().put("text", name).put("what", "wake").put("highest_mb", highest);
+        out.printf(
+                "%-8s all woke: %s, a router's highest resident size %.0f MB, routers alive %d of %d%n",
+                name,
+                sum,
+                highest,
+                routers.stream().filter(RouterProcess::isAlive).count(),
+                routers.size());
+        JsonObject figures =
+                new JsonObject().put("text", name).put("what", "wake").put("highest_mb", highest);
         sum.forEach(figures::put);
         all.add(figures);
     }
 
-    private void slowReaders(String name, List<RouterProcess> routers, List<InetSocketAddress> addresses,
-            List<CrowdProcess> crowds, ActiveLoad active, JsonArray all) throws IOException, InterruptedException {
+    private void slowReaders(
+            String name,
+            List<RouterProcess> routers,
+            List<InetSocketAddress> addresses,
+            List<CrowdProcess> crowds,
+            ActiveLoad active,
+            JsonArray all)
+            throws IOException, InterruptedException {
         Round before = active.play(plan.seconds());
         CrowdProcess slow = new CrowdProcess(100, addresses);
         crowds.add(slow);
@@ -254,19 +341,37 @@
         for (RouterProcess router : routers) {
             highest = Math.max(highest, router.highestKb() / KILO);
         }
-        out.printf("%-8s %d slow readers: p99 %.2f ms before, %.2f while they ask, %.2f then; not ok %d, %d, %d; highest"
-                + " resident size %.0f MB%n", name, plan.slowReaders(), millis(before, 99), millis(with, 99),
-                millis(after, 99), notOk(before), notOk(with), notOk(after), highest);
-        JsonObject figures = new JsonObject().put("text", name).put("what", "slow_readers")
-                .put("readers", plan.slowReaders()).put("p99_ms_before", millis(before, 99))
-                .put("p99_ms_asking", millis(with, 99)).put("not_ok_asking", notOk(with)).put("highest_mb", highest);
+        out.printf(
+                "%-8s %d slow readers: p99 %.2f ms before, %.2f while they ask, %.2f then; not ok %d, %d, %d; highest"
+                        + " resident size %.0f MB%n",
+                name,
+                plan.slowReaders(),
+                millis(before, 99),
+                millis(with, 99),
+                millis(after, 99),
+                notOk(before),
+                notOk(with),
+                notOk(after),
+                highest);
+        JsonObject figures =
+                new JsonObject()
+                        .put("text", name)
+                        .put("what", "slow_readers")
+                        .put("readers", plan.slowReaders())
+                        .put("p99_ms_before", millis(before, 99))
+                        .put("p99_ms_asking", millis(with, 99))
+                        .put("not_ok_asking", notOk(with))
+                        .put("highest_mb", highest);
         put(figures, after);
         all.add(figures);
     }
 
     private static void put(JsonObject figures, Round round) {
-        figures.put("p50_ms", millis(round, 50)).put("p99_ms", millis(round, 99)).put("p999_ms", millis(round, 99.9))
-                .put("answers", round.micros.getTotalCount()).put("not_ok", notOk(round));
+        figures.put("p50_ms", millis(round, 50))
+                .put("p99_ms", millis(round, 99))
+                .put("p999_ms", millis(round, 99.9))
+                .put("answers", round.micros.getTotalCount())
+                .put("not_ok", notOk(round));
     }
 
     private static double millis(Round round, double percentile) {
--- a/lab/src/main/java/ironwind/lab/KeeperTrial.java
+++ b/lab/src/main/java/ironwind/lab/KeeperTrial.java
@@ -29,20 +29,32 @@
     }
 
     /** A connection without a socket. */
-    private static final class Bare extends Peer {
-    }
+    private static final class Bare extends Peer {}
 
-    /** The median over rounds, in nanoseconds a step, and the bytes kept a connection, at each size. */
+    /**
+     * The median over rounds, in nanoseconds a step, and the bytes kept a connection, at each size.
+     */
     public JsonArray run(List<Integer> sizes) throws InterruptedException {
         JsonArray all = new JsonArray();
-        out.printf("%10s %14s %14s %14s %10s%n", "kept", "timer step ns", "answer ns", "give way ns", "bytes each");
-        // Once over without being told, so that the first size is not that of code that is not compiled yet.
+        out.printf(
+                "%10s %14s %14s %14s %10s%n",
+                "kept", "timer step ns", "answer ns", "give way ns", "bytes each");
+        // Once over without being told, so that the first size is not that of code that is not
+        // compiled yet.
         measure(sizes.get(0));
         for (int size : sizes) {
             double[] figures = measure(size);
-            out.printf("%10d %14.1f %14.1f %14.1f %10.0f%n", size, figures[0], figures[1], figures[2], figures[3]);
-            all.add(new JsonObject().put("what", "keeper").put("kept", size).put("timer_step_ns", figures[0])
-                    .put("answer_ns", figures[1]).put("give_way_ns", figures[2]).put("bytes_each", figures[3]));
+            out.printf(
+                    "%10d %14.1f %14.1f %14.1f %10.0f%n",
+                    size, figures[0], figures[1], figures[2], figures[3]);
+            all.add(
+                    new JsonObject()
+                            .put("what", "keeper")
+                            .put("kept", size)
+                            .put("timer_step_ns", figures[0])
+                            .put("answer_ns", figures[1])
+                            .put("give_way_ns", figures[2])
+                            .put("bytes_each", figures[3]));
         }
         return all;
     }
--- a/lab/src/main/java/ironwind/lab/LabClient.java
+++ b/lab/src/main/java/ironwind/lab/LabClient.java
@@ -8,24 +8,30 @@
 import ironwind.standin.Loop;
 import java.net.InetSocketAddress;
 
-/** One client's connection: asks, and tells how each question was answered. Silent, it holds next to nothing. */
+/**
+ * One client's connection: asks, and tells how each question was answered. Silent, it holds next to
+ * nothing.
+ */
 final class LabClient implements Loop.Handler {
     private static final int LARGEST = 1 << 22;
 
     /** How a question, or the connection, came out. */
-    enum Answer { OK, PUSHED_BACK, ABORTED, CLOSED }
+    enum Answer {
+        OK,
+        PUSHED_BACK,
+        ABORTED,
+        CLOSED
+    }
 
     /** Hears of the end of each question; {@code asked} is the time given with it. */
     interface Listener {
         void answered(LabClient client, Answer answer, long asked);
 
         /** The connection is up and welcomed. */
-        default void greeted(LabClient client) {
-        }
+        default void greeted(LabClient client) {}
 
         /** It ended while nothing was asked on it. */
-        default void ended(LabClient client) {
-        }
+        default void ended(LabClient client) {}
     }
 
     private Listener listener;
@@ -40,11 +46,16 @@
         this.listener = listener;
     }
 
-    static LabClient connect(Loop loop, InetSocketAddress from, InetSocketAddress to, Listener listener) {
+    static LabClient connect(
+            Loop loop, InetSocketAddress from, InetSocketAddress to, Listener listener) {
         return connect(loop, from, to, listener, 0);
     }
 
-    static LabClient connect(Loop loop, InetSocketAddress from, InetSocketAddress to, Listener listener,
+    static LabClient connect(
+            Loop loop,
+            InetSocketAddress from,
+            InetSocketAddress to,
+            Listener listener,
             int receiveBuffer) {
         LabClient client = new LabClient(listener);
         client.link = loop.connect(from, to, client, receiveBuffer);
@@ -69,8 +80,16 @@
         asked = at;
         row = false;
         answer = null;
-        link.write(Encoder.query("/* id=" + id + ",c=read,d=" + waitsMs + ",cluster=0,t=one */ "
-                + "SELECT val FROM state WHERE uid = '" + key + "'"));
+        link.write(
+                Encoder.query(
+                        "/* id="
+                                + id
+                                + ",c=read,d="
+                                + waitsMs
+                                + ",cluster=0,t=one */ "
+                                + "SELECT val FROM state WHERE uid = '"
+                                + key
+                                + "'"));
     }
 
     /** Sends many, and reads nothing. */
@@ -98,7 +117,7 @@
                 case 'D' -> row = true;
                 case 'E' -> answer = isPushback(frame) ? Answer.PUSHED_BACK : Answer.ABORTED;
                 case 'Z' -> ready();
-                default -> { }
+                default -> {}
             }
         }
         if (!frames.midway()) {
@@ -108,7 +127,8 @@
 
     private static boolean isPushback(Frame frame) {
         return HostMessage.decode(frame) instanceof HostMessage.Failed failed
-                && (failed.failure().code().equals("53300") || failed.failure().code().equals("57P03"));
+                && (failed.failure().code().equals("53300")
+                        || failed.failure().code().equals("57P03"));
     }
 
     private void ready() {
--- a/lab/src/main/java/ironwind/lab/RouterProcess.java
+++ b/lab/src/main/java/ironwind/lab/RouterProcess.java
@@ -2,9 +2,9 @@
 
 import java.io.File;
 import java.io.IOException;
+import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.ServerSocket;
-import java.net.InetAddress;
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
@@ -16,13 +16,21 @@
 import java.util.concurrent.TimeUnit;
 import java.util.stream.Stream;
 
-/** A router of some version, in a process of its own on one core, with what the system and the JVM say of it. */
+/**
+ * A router of some version, in a process of its own on one core, with what the system and the JVM
+ * say of it.
+ */
 final class RouterProcess implements AutoCloseable {
     private static final int TICKS_A_SECOND = 100;
     private static final long READY_MS = 30_000;
     private static final double KILO = 1_024;
-    /** The young generation has one size for all, else its size would be taken for that of what is kept. */
+
+    /**
+     * The young generation has one size for all, else its size would be taken for that of what is
+     * kept.
+     */
     private static final int YOUNG_MB = 16;
+
     private static final int LEAST_HEAP_MB = 32;
 
     private final Process process;
@@ -34,24 +42,42 @@
     }
 
     /** Starts one; {@code hcl} may be null. Its log goes to a file beside its configuration. */
-    static RouterProcess start(Path jar, int number, int discovery, Path folder, int core, int heapMb, Path hcl)
+    static RouterProcess start(
+            Path jar, int number, int discovery, Path folder, int core, int heapMb, Path hcl)
             throws IOException, InterruptedException {
         int port = freePort();
         Path config = folder.resolve("router-" + number + ".json");
         Files.writeString(config, config(number, port, discovery, heapMb));
-        List<String> command = new ArrayList<>(core < 0 ? List.of()
-                : List.of("taskset", "-c", Integer.toString(core)));
-        command.addAll(List.of(java(), "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-Dio.netty.jfr.enabled=false",
-                "-XX:-UsePerfData", "-Xmx" + heapMb + "m", "-Xms" + LEAST_HEAP_MB + "m", "-Xmn" + YOUNG_MB + "m",
-                "-XX:MinHeapFreeRatio=10", "-XX:MaxHeapFreeRatio=20",
-                "-XX:MaxDirectMemorySize=64m", "-Xss512k", "-jar", jar.toString(), "serve"));
-        ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true)
-                .redirectOutput(folder.resolve("router-" + number + ".log").toFile());
+        List<String> command =
+                new ArrayList<>(
+                        core < 0 ? List.of() : List.of("taskset", "-c", Integer.toString(core)));
+        command.addAll(
+                List.of(
+                        java(),
+                        "-XX:+UseSerialGC",
+                        "-XX:TieredStopAtLevel=1",
+                        "-Dio.netty.jfr.enabled=false",
+                        "-XX:-UsePerfData",
+                        "-Xmx" + heapMb + "m",
+                        "-Xms" + LEAST_HEAP_MB + "m",
+                        "-Xmn" + YOUNG_MB + "m",
+                        "-XX:MinHeapFreeRatio=10",
+                        "-XX:MaxHeapFreeRatio=20",
+                        "-XX:MaxDirectMemorySize=64m",
+                        "-Xss512k",
+                        "-jar",
+                        jar.toString(),
+                        "serve"));
+        ProcessBuilder builder =
+                new ProcessBuilder(command)
+                        .redirectErrorStream(true)
+                        .redirectOutput(folder.resolve("router-" + number + ".log").toFile());
         builder.environment().put("ROUTER_CONFIG", config.toString());
         if (hcl != null) {
             builder.environment().put("IRONWIND_HCL", hcl.toString());
         }
-        RouterProcess router = new RouterProcess(builder.start(), new InetSocketAddress("127.0.0.1", port));
+        RouterProcess router =
+                new RouterProcess(builder.start(), new InetSocketAddress("127.0.0.1", port));
         router.awaitReady();
         return router;
     }
@@ -78,7 +104,8 @@
                   "caps":{"cancel":true,"may_probe":true,"parallel_tries":true,"most_tries":4,"retry_after":true,
                           "max_retry_after_us":250000,"connect_timeout_us":1000000,"idle_close_us":300000000},
                   "rules":{"answer_slack_us":20000,"drain_grace_us":500000},"prices":{"probe":0.01}}}
-                """.formatted(number, port, discovery, number + 1, memoryMb);
+                """
+                .formatted(number, port, discovery, number + 1, memoryMb);
     }
 
     private void awaitReady() throws IOException, InterruptedException {
@@ -95,7 +122,11 @@
                     if (count < 0) {
                         break;
                     }
-                    heard = new String(bytes, 0, count, StandardCharsets.ISO_8859_1).contains("I\0\0\0\4") ? "I" : "";
+                    heard =
+                            new String(bytes, 0, count, StandardCharsets.ISO_8859_1)
+                                            .contains("I\0\0\0\4")
+                                    ? "I"
+                                    : "";
                 }
                 if (!heard.isEmpty()) {
                     return;
@@ -128,7 +159,8 @@
 
     private double status(String name) throws IOException {
         try (Stream<String> lines = Files.lines(proc("status"))) {
-            String line = lines.filter(each -> each.startsWith(name)).findFirst().orElse(name + " 0 kB");
+            String line =
+                    lines.filter(each -> each.startsWith(name)).findFirst().orElse(name + " 0 kB");
             return Double.parseDouble(line.replaceAll("[^0-9]", ""));
         }
     }
@@ -157,8 +189,15 @@
     private String jcmd(String order) throws IOException, InterruptedException {
         File out = File.createTempFile("jcmd", ".txt");
         try {
-            Process run = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "jcmd").toString(),
-                    Long.toString(process.pid()), order).redirectErrorStream(true).redirectOutput(out).start();
+            Process run =
+                    new ProcessBuilder(
+                                    Path.of(System.getProperty("java.home"), "bin", "jcmd")
+                                            .toString(),
+                                    Long.toString(process.pid()),
+                                    order)
+                            .redirectErrorStream(true)
+                            .redirectOutput(out)
+                            .start();
             run.waitFor(60, TimeUnit.SECONDS);
             return Files.readString(out.toPath());
         } finally {
--- a/lab/src/main/java/ironwind/lab/SocketTrial.java
+++ b/lab/src/main/java/ironwind/lab/SocketTrial.java
@@ -24,7 +24,10 @@
 import java.util.List;
 import java.util.concurrent.CountDownLatch;
 
-/** Live heap of one accepted connection that is read from, by what stands between the system's socket and its owner. */
+/**
+ * Live heap of one accepted connection that is read from, by what stands between the system's
+ * socket and its owner.
+ */
 public final class SocketTrial {
     private static final long SETTLED_MS = 300;
     private static final int WARMING = 100;
@@ -36,8 +39,7 @@
     }
 
     /** A server that holds what it accepted until it is ended. */
-    private record Running(int port, AutoCloseable end) {
-    }
+    private record Running(int port, AutoCloseable end) {}
 
     /** Lets connections in, and tells of each. */
     private interface Server {
@@ -56,14 +58,18 @@
         VERTX
     }
 
-    /** Prints the bytes of live heap of a connection, both ends, in this way; one way a process, as each leaves traces. */
+    /**
+     * Prints the bytes of live heap of a connection, both ends, in this way; one way a process, as
+     * each leaves traces.
+     */
     public void run(Way way, int connections) throws Exception {
-        Server server = switch (way) {
-            case BARE -> this::bare;
-            case HANDLE -> this::handle;
-            case CHANNEL -> this::channel;
-            case VERTX -> this::vertx;
-        };
+        Server server =
+                switch (way) {
+                    case BARE -> this::bare;
+                    case HANDLE -> this::handle;
+                    case CHANNEL -> this::channel;
+                    case VERTX -> this::vertx;
+                };
         // Played once before, so that no class is loaded while it counts.
         measure(server, WARMING);
         out.printf("%-8s %8.0f bytes a connection, both ends%n", way, measure(server, connections));
@@ -75,7 +81,9 @@
         List<java.nio.channels.SocketChannel> clients = new ArrayList<>(connections);
         long before = used();
         for (int i = 0; i < connections; i++) {
-            clients.add(java.nio.channels.SocketChannel.open(new InetSocketAddress("127.0.0.1", running.port)));
+            clients.add(
+                    java.nio.channels.SocketChannel.open(
+                            new InetSocketAddress("127.0.0.1", running.port)));
         }
         accepted.await();
         double each = (used() - before) / (double) connections;
@@ -96,21 +104,31 @@
 
     /** Accepted, and nothing more. */
     private Running bare(CountDownLatch accepted) throws IOException {
-        ServerSocketChannel server = ServerSocketChannel.open().bind(new InetSocketAddress("127.0.0.1", 0), 4_096);
-        return accept(server, channel -> { }, accepted);
+        ServerSocketChannel server =
+                ServerSocketChannel.open().bind(new InetSocketAddress("127.0.0.1", 0), 4_096);
+        return accept(server, channel -> {}, accepted);
     }
 
     private Running handle(CountDownLatch accepted) throws IOException {
-        IoEventLoop loop = (IoEventLoop) new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
-        ServerSocketChannel server = ServerSocketChannel.open().bind(new InetSocketAddress("127.0.0.1", 0), 4_096);
-        return accept(server, channel -> {
-            channel.configureBlocking(false);
-            loop.register(new Handle(channel)).addListener(result ->
-                    ((io.netty.channel.IoRegistration) result.getNow()).submit(NioIoOps.READ));
-        }, accepted);
+        IoEventLoop loop =
+                (IoEventLoop) new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
+        ServerSocketChannel server =
+                ServerSocketChannel.open().bind(new InetSocketAddress("127.0.0.1", 0), 4_096);
+        return accept(
+                server,
+                channel -> {
+                    channel.configureBlocking(false);
+                    loop.register(new Handle(channel))
+                            .addListener(
+                                    result ->
+                                            ((io.netty.channel.IoRegistration) result.getNow())
+                                                    .submit(NioIoOps.READ));
+                },
+                accepted);
     }
 
-    private static final class Handle extends NioSelectableChannelIoHandle<java.nio.channels.SocketChannel> {
+    private static final class Handle
+            extends NioSelectableChannelIoHandle<java.nio.channels.SocketChannel> {
         private Handle(java.nio.channels.SocketChannel channel) {
             super(channel);
         }
@@ -129,46 +147,72 @@
         void take(java.nio.channels.SocketChannel channel) throws IOException;
     }
 
-    private static Running accept(ServerSocketChannel server, Taker taker, CountDownLatch accepted) {
+    private static Running accept(
+            ServerSocketChannel server, Taker taker, CountDownLatch accepted) {
         List<java.nio.channels.SocketChannel> kept = new ArrayList<>((int) accepted.getCount());
-        Thread thread = new Thread(() -> {
-            try {
-                while (accepted.getCount() > 0) {
-                    java.nio.channels.SocketChannel channel = server.accept();
-                    kept.add(channel);
-                    taker.take(channel);
-                    accepted.countDown();
-                }
-            } catch (IOException e) {
-                throw new IllegalStateException(e);
-            }
-        }, "acceptor");
+        Thread thread =
+                new Thread(
+                        () -> {
+                            try {
+                                while (accepted.getCount() > 0) {
+                                    java.nio.channels.SocketChannel channel = server.accept();
+                                    kept.add(channel);
+                                    taker.take(channel);
+                                    accepted.countDown();
+                                }
+                            } catch (IOException e) {
+                                throw new IllegalStateException(e);
+                            }
+                        },
+                        "acceptor");
         thread.setDaemon(true);
         thread.start();
-        return new Running(server.socket().getLocalPort(), () -> {
-            for (java.nio.channels.SocketChannel channel : kept) {
-                channel.close();
-            }
-            kept.clear();
-            server.close();
-        });
+        return new Running(
+                server.socket().getLocalPort(),
+                () -> {
+                    for (java.nio.channels.SocketChannel channel : kept) {
+                        channel.close();
+                    }
+                    kept.clear();
+                    server.close();
+                });
     }
 
     private Running channel(CountDownLatch accepted) throws InterruptedException {
-        MultiThreadIoEventLoopGroup loops = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-        int port = ((InetSocketAddress) new ServerBootstrap().group(loops).channel(NioServerSocketChannel.class)
-                .childHandler(new ChannelInitializer<SocketChannel>() {
-                    @Override
-                    protected void initChannel(SocketChannel channel) {
-                        channel.pipeline().addLast(new ChannelInboundHandlerAdapter() {
-                            @Override
-                            public void channelRead(ChannelHandlerContext context, Object message) {
-                                ReferenceCountUtil.release(message);
-                            }
-                        });
-                        accepted.countDown();
-                    }
-                }).bind("127.0.0.1", 0).sync().channel().localAddress()).getPort();
+        MultiThreadIoEventLoopGroup loops =
+                new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+        int port =
+                ((InetSocketAddress)
+                                new ServerBootstrap()
+                                        .group(loops)
+                                        .channel(NioServerSocketChannel.class)
+                                        .childHandler(
+                                                new ChannelInitializer<SocketChannel>() {
+                                                    @Override
+                                                    protected void initChannel(
+                                                            SocketChannel channel) {
+                                                        channel.pipeline()
+                                                                .addLast(
+                                                                        new ChannelInboundHandlerAdapter() {
+                                                                            @Override
+                                                                            public void channelRead(
+                                                                                    ChannelHandlerContext
+                                                                                            context,
+                                                                                    Object
+                                                                                            message) {
+                                                                                ReferenceCountUtil
+                                                                                        .release(
+                                                                                                message);
+                                                                            }
+                                                                        });
+                                                        accepted.countDown();
+                                                    }
+                                                })
+                                        .bind("127.0.0.1", 0)
+                                        .sync()
+                                        .channel()
+                                        .localAddress())
+                        .getPort();
         return new Running(port, () -> loops.shutdownGracefully().sync());
     }
 
@@ -178,10 +222,14 @@
             port = free.getLocalPort();
         }
         Vertx vertx = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(1));
-        vertx.createNetServer().connectHandler(socket -> {
-            socket.handler(buffer -> { });
-            accepted.countDown();
-        }).listen(port, "127.0.0.1").await();
+        vertx.createNetServer()
+                .connectHandler(
+                        socket -> {
+                            socket.handler(buffer -> {});
+                            accepted.countDown();
+                        })
+                .listen(port, "127.0.0.1")
+                .await();
         return new Running(port, () -> vertx.close().await());
     }
 }
--- a/lab/src/test/java/ironwind/lab/IdleRouterTest.java
+++ b/lab/src/test/java/ironwind/lab/IdleRouterTest.java
@@ -34,10 +34,14 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What befalls many connections, caused on sockets between a router and stand-ins, and counted at the far side. */
+/**
+ * What befalls many connections, caused on sockets between a router and stand-ins, and counted at
+ * the far side.
+ */
 @Timeout(value = 30, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class IdleRouterTest {
-    private static final String SETTINGS = """
+    private static final String SETTINGS =
+            """
             {"period_us":5000,"peers_total":1,"zones":["north"],"kinds":["plain"],
              "tenants":[{"name":"one","quota_rps":0},{"name":"two","quota_rps":0}],
              "lanes":[{"name":"read","effect":"retryable","deadline_us":8000000,"goal_time_us":4000000,"worth":2.0},
@@ -47,8 +51,7 @@
                      "max_retry_after_us":250000,"connect_timeout_us":1000000,"idle_close_us":60000000},
              "rules":{"answer_slack_us":20000,"drain_grace_us":500000},"prices":{"probe":0.01}}""";
 
-    @TempDir
-    private Path folder;
+    @TempDir private Path folder;
     private final List<AutoCloseable> opened = new ArrayList<>();
     private Loop loop;
     private StandInHost primary;
@@ -75,16 +78,35 @@
 
     /** Begins a router whose block {@code idle} has these lines. */
     private void begin(String idle) throws Exception {
-        StartFacts facts = StartFacts.read(new JsonObject().put("name", "n1").put("listen", "127.0.0.1:0")
-                .put("discovery", "127.0.0.1:" + discovery.port()).put("seed", "8c1f30d27a5be964")
-                .put("limits", new JsonObject().put("sockets", 8_000).put("memory_mb", 128))
-                .put("settings", new JsonObject(SETTINGS))
-                .put("known", new JsonObject().put("version", 0).put("full", true)
-                        .put("servers", new io.vertx.core.json.JsonArray())));
+        StartFacts facts =
+                StartFacts.read(
+                        new JsonObject()
+                                .put("name", "n1")
+                                .put("listen", "127.0.0.1:0")
+                                .put("discovery", "127.0.0.1:" + discovery.port())
+                                .put("seed", "8c1f30d27a5be964")
+                                .put(
+                                        "limits",
+                                        new JsonObject()
+                                                .put("sockets", 8_000)
+                                                .put("memory_mb", 128))
+                                .put("settings", new JsonObject(SETTINGS))
+                                .put(
+                                        "known",
+                                        new JsonObject()
+                                                .put("version", 0)
+                                                .put("full", true)
+                                                .put(
+                                                        "servers",
+                                                        new io.vertx.core.json.JsonArray())));
         Path file = folder.resolve("i.hcl");
         Files.writeString(file, "idle {\n" + idle + "\n}\n");
-        router = new Router(facts, Installation.read(file, facts.idleLimits()),
-                new Log(new PrintStream(PrintStream.nullOutputStream()))).unrehearsed();
+        router =
+                new Router(
+                                facts,
+                                Installation.read(file, facts.idleLimits()),
+                                new Log(new PrintStream(PrintStream.nullOutputStream())))
+                        .unrehearsed();
         router.start().await(10, TimeUnit.SECONDS);
         Talk first = talk();
         first.greet();
@@ -112,43 +134,62 @@
     }
 
     private static byte[] write(String id) {
-        return Encoder.query("/* id=" + id + ",c=write,d=4000,cluster=0,t=one */ INSERT INTO state (uid) VALUES ('k')");
+        return Encoder.query(
+                "/* id="
+                        + id
+                        + ",c=write,d=4000,cluster=0,t=one */ INSERT INTO state (uid) VALUES ('k')");
     }
 
     /** Many connections that a loop of their own holds; each has been served once. */
-    private List<LabClient> crowd(int count, Map<Answer, Integer> answers, CountDownLatch answered) throws Exception {
+    private List<LabClient> crowd(int count, Map<Answer, Integer> answers, CountDownLatch answered)
+            throws Exception {
         CountDownLatch up = new CountDownLatch(count);
         List<LabClient> clients = new ArrayList<>();
-        LabClient.Listener listener = new LabClient.Listener() {
-            @Override
-            public void greeted(LabClient client) {
-                client.read("up-" + asked++, "k", 8_000, 0);
-            }
+        LabClient.Listener listener =
+                new LabClient.Listener() {
+                    @Override
+                    public void greeted(LabClient client) {
+                        client.read("up-" + asked++, "k", 8_000, 0);
+                    }
 
-            @Override
-            public void answered(LabClient client, Answer answer, long at) {
-                if (up.getCount() > 0) {
-                    up.countDown();
-                } else {
-                    answers.merge(answer, 1, Integer::sum);
-                    answered.countDown();
-                }
-            }
-        };
-        loop.post(() -> {
-            for (int i = 0; i < count; i++) {
-                clients.add(LabClient.connect(loop, null, new InetSocketAddress("127.0.0.1", router.port()), listener));
-            }
-        });
+                    @Override
+                    public void answered(LabClient client, Answer answer, long at) {
+                        if (up.getCount() > 0) {
+                            up.countDown();
+                        } else {
+                            answers.merge(answer, 1, Integer::sum);
+                            answered.countDown();
+                        }
+                    }
+                };
+        loop.post(
+                () -> {
+                    for (int i = 0; i < count; i++) {
+                        clients.add(
+                                LabClient.connect(
+                                        loop,
+                                        null,
+                                        new InetSocketAddress("127.0.0.1", router.port()),
+                                        listener));
+                    }
+                });
         up.await();
         return clients;
     }
 
-    /** Guards against a crowd that wakes at once and takes its RPCs, or those of active clients, along. */
+    /**
+     * Guards against a crowd that wakes at once and takes its RPCs, or those of active clients,
+     * along.
+     */
     @ParameterizedTest(name = "turns of {0} open RPCs, {1} to wait: {2}")
     @CsvSource({"16, 8s, all are served", "4, 1ms, some are pushed back"})
     void whenAllWakeEachGetsItsOneAnswer(int open, String crowdTime, String what) throws Exception {
-        begin("open_rpcs = " + open + "\ncrowd_time = \"" + crowdTime + "\"\nactive_time = \"100ms\"");
+        begin(
+                "open_rpcs = "
+                        + open
+                        + "\ncrowd_time = \""
+                        + crowdTime
+                        + "\"\nactive_time = \"100ms\"");
         int count = 1_000;
         Map<Answer, Integer> answers = new EnumMap<>(Answer.class);
         CountDownLatch answered = new CountDownLatch(count);
@@ -159,7 +200,8 @@
         while (answered.getCount() > 0) {
             assertThat(active.read("active-" + asked++)).isEqualTo("ok");
         }
-        assertThat(answers.getOrDefault(Answer.OK, 0) + answers.getOrDefault(Answer.PUSHED_BACK, 0)).isEqualTo(count);
+        assertThat(answers.getOrDefault(Answer.OK, 0) + answers.getOrDefault(Answer.PUSHED_BACK, 0))
+                .isEqualTo(count);
         if (what.startsWith("all")) {
             assertThat(answers).containsEntry(Answer.OK, count);
         } else {
@@ -178,17 +220,25 @@
         Talk other = known();
         int count = 60;
         List<LabClient> slow = crowd(count, new EnumMap<>(Answer.class), new CountDownLatch(1));
-        loop.post(() -> slow.forEach(client -> client.readDeaf("deaf-" + asked++, "big-65536", 8_000, 90)));
+        loop.post(
+                () ->
+                        slow.forEach(
+                                client ->
+                                        client.readDeaf(
+                                                "deaf-" + asked++, "big-65536", 8_000, 90)));
         long most = 0;
         long ended = 0;
         while (ended < count) {
             assertThat(other.read("other-" + asked++)).isEqualTo("ok");
             most = Math.max(most, other.shown("memory", "owed"));
-            ended = other.shown("idle", "ended_slow_reader") + other.shown("idle", "ended_owed_too_much");
+            ended =
+                    other.shown("idle", "ended_slow_reader")
+                            + other.shown("idle", "ended_owed_too_much");
         }
         assertThat(most).isBetween(1L, (2L << 20) + (1 << 18));
         assertThat(other.shown("memory", "owed")).isZero();
-        assertThat(other.shown("clients", "served") + other.shown("clients", "busy")).isLessThanOrEqualTo(1);
+        assertThat(other.shown("clients", "served") + other.shown("clients", "busy"))
+                .isLessThanOrEqualTo(1);
     }
 
     /** Guards against an answer that was cut short and looks whole. */
@@ -249,7 +299,10 @@
         assertThat(primary.ran()).hasSize(20).doesNotContainValue(2);
     }
 
-    /** Guards against the loss of an RPC whose client wrote it just as its connection was to give way. */
+    /**
+     * Guards against the loss of an RPC whose client wrote it just as its connection was to give
+     * way.
+     */
     @Test
     void whoWakesAsItIsToGiveWayIsServed() throws Exception {
         begin("connections = 1");
@@ -296,8 +349,9 @@
     /** Guards against messages that begin and take all memory before they end. */
     @Test
     void messagesThatFindNoMemoryEndInAnError() throws Exception {
-        begin("memory = \"256KiB\"\nowed_all = \"64KiB\"\nowed_each = \"64KiB\"\n"
-                + "message_time = \"20s\"");
+        begin(
+                "memory = \"256KiB\"\nowed_all = \"64KiB\"\nowed_each = \"64KiB\"\n"
+                        + "message_time = \"20s\"");
         Talk other = known();
         List<Talk> begun = new ArrayList<>();
         byte[] head = Arrays.copyOf(Encoder.query("x".repeat(130_000)), 60_000);
@@ -328,13 +382,14 @@
         assertThat(refused).isBetween(3, 5);
         assertThat(other.shown("memory", "incoming")).isBetween(1L, 256L << 10);
         assertThat(other.shown("idle", "ended_no_memory")).isEqualTo(refused);
-        begun.forEach(talk -> {
-            try {
-                talk.close();
-            } catch (IOException e) {
-                throw new IllegalStateException(e);
-            }
-        });
+        begun.forEach(
+                talk -> {
+                    try {
+                        talk.close();
+                    } catch (IOException e) {
+                        throw new IllegalStateException(e);
+                    }
+                });
         while (other.shown("memory", "incoming") > 0) {
             Thread.sleep(10);
         }
@@ -379,11 +434,19 @@
         assertThat(all.get(0).shown("idle", "most")).isBetween(4_000L, 8_000L);
     }
 
-    /** Guards against start-ups and messages that never end, each told apart by the error and the count. */
+    /**
+     * Guards against start-ups and messages that never end, each told apart by the error and the
+     * count.
+     */
     @ParameterizedTest(name = "{0} bytes of a start-up, {1} of a request: {2}")
-    @CsvSource({"0, 0, E57P05 closed, too_slow", "5, 0, E57P05 closed, too_slow", "99, 7, E57P05 closed, too_slow",
-        "99, 0, closed, idle_too_long"})
-    void whatStandsStillIsEnded(int startup, int request, String answer, String reason) throws Exception {
+    @CsvSource({
+        "0, 0, E57P05 closed, too_slow",
+        "5, 0, E57P05 closed, too_slow",
+        "99, 7, E57P05 closed, too_slow",
+        "99, 0, closed, idle_too_long"
+    })
+    void whatStandsStillIsEnded(int startup, int request, String answer, String reason)
+            throws Exception {
         begin("startup_time = \"200ms\"\nmessage_time = \"200ms\"\ngreeted_time = \"200ms\"");
         Talk known = known();
         Talk slow = talk();
--- a/lab/src/test/java/ironwind/lab/Talk.java
+++ b/lab/src/test/java/ironwind/lab/Talk.java
@@ -19,6 +19,7 @@
 
     final Socket socket = new Socket();
     private final Frames frames = new Frames(false, HostMessage.TYPES, 1 << 20);
+
     /** First and second value of each row of the last answer. */
     final Map<String, String> rows = new TreeMap<>();
 
@@ -46,8 +47,20 @@
     }
 
     void ask(String id, String method, String customer, String key) throws IOException {
-        send(Encoder.query("/* id=" + id + ",c=" + method + ",d=4000,k=" + id + ",cluster=0,t=" + customer + " */ "
-                + "SELECT val FROM state WHERE uid = '" + key + "'"));
+        send(
+                Encoder.query(
+                        "/* id="
+                                + id
+                                + ",c="
+                                + method
+                                + ",d=4000,k="
+                                + id
+                                + ",cluster=0,t="
+                                + customer
+                                + " */ "
+                                + "SELECT val FROM state WHERE uid = '"
+                                + key
+                                + "'"));
     }
 
     String read(String id) throws IOException {
@@ -65,7 +78,10 @@
         return Long.parseLong(show(what).get(name));
     }
 
-    /** {@code ok}, {@code E} with code and detail, {@code ready}; {@code closed} behind it where it was. */
+    /**
+     * {@code ok}, {@code E} with code and detail, {@code ready}; {@code closed} behind it where it
+     * was.
+     */
     String answer() throws IOException {
         rows.clear();
         boolean row = false;
@@ -76,7 +92,8 @@
                 if (frame.type() == 'D') {
                     row = true;
                     values(frame.body());
-                } else if (frame.type() == 'E' && HostMessage.decode(frame) instanceof HostMessage.Failed failed) {
+                } else if (frame.type() == 'E'
+                        && HostMessage.decode(frame) instanceof HostMessage.Failed failed) {
                     String detail = failed.failure().detail();
                     error = "E" + failed.failure().code() + (detail == null ? "" : " " + detail);
                 } else if (frame.type() == 'Z') {
@@ -95,8 +112,11 @@
         String[] values = new String[2];
         int at = 2;
         for (int i = 0; i < Math.min(body[1], 2); i++) {
-            int length = (body[at] & 0xff) << 24 | (body[at + 1] & 0xff) << 16 | (body[at + 2] & 0xff) << 8
-                    | body[at + 3] & 0xff;
+            int length =
+                    (body[at] & 0xff) << 24
+                            | (body[at + 1] & 0xff) << 16
+                            | (body[at + 2] & 0xff) << 8
+                            | body[at + 3] & 0xff;
             values[i] = new String(body, at + 4, length, StandardCharsets.UTF_8);
             at += 4 + length;
         }
--- a/router/src/main/java/ironwind/Logic.java
+++ b/router/src/main/java/ironwind/Logic.java
@@ -7,59 +7,92 @@
 import java.util.function.BiConsumer;
 
 /**
- * All decisions of one router. A front (the wire's adapter, or a real router) makes one instance per router,
- * brings every event of a batch through {@link Inbound}, then calls {@link #settle}; the module answers by
- * {@link Outbound}. Both stand in {@code ironwind.model}, with the state that only this class writes. It
- * reads no clock but the batch's, draws chance from its seed alone, and is not safe for use by several
- * threads.
+ * All decisions of one router. A front (the wire's adapter, or a real router) makes one instance
+ * per router, brings every event of a batch through {@link Inbound}, then calls {@link #settle};
+ * the module answers by {@link Outbound}. Both stand in {@code ironwind.model}, with the state that
+ * only this class writes. It reads no clock but the batch's, draws chance from its seed alone, and
+ * is not safe for use by several threads.
  *
- * <p>The ordinary path is the log-position gate of docs/design.md: see {@link #choose}. Whatever is proposed,
- * {@link #gate} is the one place that a send passes. What happens to an RPC stands in {@link #TABLE}.
+ * <p>The ordinary path is the log-position gate of docs/design.md: see {@link #choose}. Whatever is
+ * proposed, {@link #gate} is the one place that a send passes. What happens to an RPC stands in
+ * {@link #TABLE}.
  */
 public final class Logic implements Inbound {
     /** The design's brief wait for a replica to pass, before the primary is taken. */
     private static final Span BRIEF_WAIT = Span.ofMillis(20);
+
     /** How often held RPCs and hosts are looked at when nothing else happens. */
     private static final Span LOOK_EVERY = Span.ofMillis(10);
-    /** A host is silent when its call-outs have waited so many mean answer times without a word, added up. */
+
+    /**
+     * A host is silent when its call-outs have waited so many mean answer times without a word,
+     * added up.
+     */
     private static final double SILENCE = 7;
+
     private static final Span LEAST_SILENCE = Span.ofMillis(150);
+
     /** As many call-outs count for silence at most; more may be queueing at the host. */
     private static final int SILENCE_VOICES = 4;
+
     /**
-     * A host that turns work away or errs rests, twice as long each time in a row: it answers badly but fast,
-     * and so looks idle. Harm: a full primary is used a little late.
+     * A host that turns work away or errs rests, twice as long each time in a row: it answers badly
+     * but fast, and so looks idle. Harm: a full primary is used a little late.
      */
     private static final Span REST = Span.ofMillis(20);
+
     private static final int REST_DOUBLINGS = 6;
+
     /** A row of errors no likelier than this to be the RPCs' own counts against the host. */
     private static final double ERRORS_BY_CHANCE = 0.01;
+
     private static final double TRIAL_PATIENCE = 3;
     private static final Span TRIAL_EVERY = Span.ofMillis(400);
     private static final int TRIAL_DOUBLINGS = 3;
-    /** Connections are taken to be scarce for so long after a host that runs has refused one at once. */
+
+    /**
+     * Connections are taken to be scarce for so long after a host that runs has refused one at
+     * once.
+     */
     private static final Span AT_ONCE = Span.ofMillis(20);
+
     private static final Span SCARCE_HOLDS = Span.ofMillis(10_000);
     private static final Span NEWS_EVERY = Span.ofMillis(250);
     private static final Span PROBE_EVERY = Span.ofMillis(50);
+
     /** A word as replica is taken as still true in the search for a primary for so long. */
     private static final Span ROLE_HOLDS = Span.ofMillis(400);
+
     /** How long a miss, and a reported position, tell that a replica is behind. */
     private static final Span MISS_HOLDS = Span.ofMillis(400);
+
     private static final Span REPORT_HOLDS = Span.ofMillis(3_000);
+
     /** A list naming a host that has called itself a replica since is late. */
     private static final Span LIST_LATENESS = Span.ofMillis(10_000);
-    /** Parts of the result that probes may cost: for positions, and for news of what is silent or missing. */
+
+    /**
+     * Parts of the result that probes may cost: for positions, and for news of what is silent or
+     * missing.
+     */
     private static final double POSITION_SPEND = 0.002;
+
     private static final double NEWS_SPEND = 0.005;
     private static final double MOST_PROBE_SHARE = 0.5;
     private static final double BURST = 10;
-    /** In-flight limits: how they start, move and end, told by answer times as parts of the soft deadline. */
+
+    /**
+     * In-flight limits: how they start, move and end, told by answer times as parts of the soft
+     * deadline.
+     */
     private static final double FIRST_LIMIT = 8;
+
     private static final double MOST_LIMIT = 256;
     private static final double LEAST_LIMIT = 1;
+
     /** A pool never shrinks below so many call-outs a host, of all routers together. */
     private static final double LEAST_A_HOST = 5;
+
     private static final double FIRST_A_HOST = 16;
     private static final double STRAINED = 0.42;
     private static final double EASY = 0.32;
@@ -67,55 +100,85 @@
     private static final double LIMIT_STEP = 0.5;
     private static final double LIMIT_GROWTH = 0.08;
     private static final Span LIMIT_REST = Span.ofMillis(100);
-    /** Reads may take so much of the primary's room; the rest is for what only the primary takes. */
+
+    /**
+     * Reads may take so much of the primary's room; the rest is for what only the primary takes.
+     */
     private static final double READS_OF_PRIMARY = 0.6;
+
     private static final Span SAMPLES_OVER = Span.ofMillis(2_000);
     private static final Span STRAIN_FADES = Span.ofMillis(60_000);
     private static final double MOST_WEIGHT = 0.6;
     private static final double SMOOTHING = 0.08;
     private static final double HOST_SMOOTHING = 0.16;
     private static final Span HOST_FADES = Span.ofMillis(10_000);
+
     /** How long an over-share RPC is held, in soft deadlines, before it is shed. */
     private static final double SHED_OVER_SHARE = 0.15;
+
     /**
-     * An RPC is given up when less than a mean answer time is left of its use, but not before this part of
-     * the soft deadline: a method that only slow hosts serve would never be timed again.
+     * An RPC is given up when less than a mean answer time is left of its use, but not before this
+     * part of the soft deadline: a method that only slow hosts serve would never be timed again.
      */
     private static final double LEAST_USE = 0.5;
-    /** An RPC of which less is left when late is not held past its soft deadline: failing late costs more. */
+
+    /**
+     * An RPC of which less is left when late is not held past its soft deadline: failing late costs
+     * more.
+     */
     private static final double LATE_HOLD = 0.4;
-    /** What no host has seen is given back before so much of the client's time is over: it may try again. */
+
+    /**
+     * What no host has seen is given back before so much of the client's time is over: it may try
+     * again.
+     */
     private static final double UNSEEN_HOLD = 0.5;
-    /** Cold budgets: the part of the allowance used, and all routers' sends always allowed in a window. */
+
+    /**
+     * Cold budgets: the part of the allowance used, and all routers' sends always allowed in a
+     * window.
+     */
     private static final double COLD_MARGIN = 0.85;
+
     private static final double COLD_FLOOR = 3;
     private static final Span RATE_OVER = Span.ofMillis(8_000);
     private static final Span WRITE_BACKOFF = Span.ofMillis(200);
     private static final Span COMMIT_ROUNDING = Span.ofMillis(1);
     private static final double FIRST_MEAN_US = 150_000;
-    /** A customer may use so many RPCs of its share at once: a small router's is below one a second. */
+
+    /**
+     * A customer may use so many RPCs of its share at once: a small router's is below one a second.
+     */
     private static final double LEAST_SHARE = 5;
 
     /** What can happen to an RPC. */
-    private enum Input { ARRIVED, LOOK, SENT, OK, UNRUN, UNSURE, HOPELESS, LEFT }
-
-    private record Row(Stage state, Input input, Stage next, BiConsumer<Logic, Rpc> effect) {
+    private enum Input {
+        ARRIVED,
+        LOOK,
+        SENT,
+        OK,
+        UNRUN,
+        UNSURE,
+        HOPELESS,
+        LEFT
     }
 
+    private record Row(Stage state, Input input, Stage next, BiConsumer<Logic, Rpc> effect) {}
+
     private static final Row[] TABLE = {
         new Row(Stage.HELD, Input.LOOK, Stage.HELD, Logic::place),
         new Row(Stage.HELD, Input.ARRIVED, Stage.HELD, Logic::admit),
-        new Row(Stage.HELD, Input.SENT, Stage.OUT, (logic, rpc) -> { }),
+        new Row(Stage.HELD, Input.SENT, Stage.OUT, (logic, rpc) -> {}),
         new Row(Stage.HELD, Input.HOPELESS, Stage.OVER, Logic::answerUnserved),
         new Row(Stage.HELD, Input.LEFT, Stage.OVER, Logic::finish),
-        new Row(Stage.OUT, Input.SENT, Stage.TWICE_OUT, (logic, rpc) -> { }),
+        new Row(Stage.OUT, Input.SENT, Stage.TWICE_OUT, (logic, rpc) -> {}),
         new Row(Stage.OUT, Input.OK, Stage.OVER, Logic::finish),
         new Row(Stage.OUT, Input.UNRUN, Stage.HELD, Logic::hold),
         new Row(Stage.OUT, Input.UNSURE, Stage.HELD, Logic::holdIfRepeatable),
         new Row(Stage.OUT, Input.LEFT, Stage.OVER, Logic::finish),
         new Row(Stage.TWICE_OUT, Input.OK, Stage.OVER, Logic::finish),
-        new Row(Stage.TWICE_OUT, Input.UNRUN, Stage.OUT, (logic, rpc) -> { }),
-        new Row(Stage.TWICE_OUT, Input.UNSURE, Stage.OUT, (logic, rpc) -> { }),
+        new Row(Stage.TWICE_OUT, Input.UNRUN, Stage.OUT, (logic, rpc) -> {}),
+        new Row(Stage.TWICE_OUT, Input.UNSURE, Stage.OUT, (logic, rpc) -> {}),
         new Row(Stage.TWICE_OUT, Input.LEFT, Stage.OVER, Logic::finish),
     };
 
@@ -125,16 +188,22 @@
     private final Map<String, Host> hosts = new LinkedHashMap<>();
     private final Map<Integer, Group> groups = new TreeMap<>();
     private final Map<Integer, Mean> zones = new TreeMap<>();
+
     /** By kind of host; null until one is asked for after a look. */
     private Map<Integer, Double> warmRates;
+
     private final List<Rpc> held = new ArrayList<>();
+
     /** Hosts that hold call-outs of ours: most hosts hold none of a small router's. */
     private final List<Host> working = new ArrayList<>();
+
     private final Map<String, Commit> commits = new LinkedHashMap<>();
     private final Span halfBound;
     private final double[] meanUs;
+
     /** Mean answer times where nothing strained: the work itself, as near as it can be told. */
     private final double[] easyUs;
+
     private final List<Bucket> shares = new ArrayList<>();
     private double allMeanUs = FIRST_MEAN_US;
     private double errorShare;
@@ -149,8 +218,7 @@
     private Moment scarceUntil = Moment.NEVER;
     private boolean stirred;
 
-    private record Commit(Group group, Moment position) {
-    }
+    private record Commit(Group group, Moment position) {}
 
     public Logic(Deployment deployment, long seed, Outbound outbound) {
         this.deployment = deployment;
@@ -160,10 +228,19 @@
         Arrays.fill(meanUs, FIRST_MEAN_US);
         this.easyUs = meanUs.clone();
         for (Customer customer : deployment.customers()) {
-            shares.add(new Bucket(Math.max(LEAST_SHARE, customer.quotaPerSecond() / deployment.routers())));
+            shares.add(
+                    new Bucket(
+                            Math.max(
+                                    LEAST_SHARE,
+                                    customer.quotaPerSecond() / deployment.routers())));
         }
-        this.halfBound = deployment.methods().stream().filter(m -> m.freshness() == Freshness.BOUNDED)
-                .map(Method::bound).min(Comparator.naturalOrder()).orElse(Span.ofMillis(1_000)).times(0.5);
+        this.halfBound =
+                deployment.methods().stream()
+                        .filter(m -> m.freshness() == Freshness.BOUNDED)
+                        .map(Method::bound)
+                        .min(Comparator.naturalOrder())
+                        .orElse(Span.ofMillis(1_000))
+                        .times(0.5);
     }
 
     // ---- the list
@@ -197,7 +274,10 @@
         hosts.values().removeIf(this::forgets);
     }
 
-    /** Guards against lists that name new hosts without end: what is gone, and owes us nothing, is let go. */
+    /**
+     * Guards against lists that name new hosts without end: what is gone, and owes us nothing, is
+     * let go.
+     */
     private boolean forgets(Host host) {
         boolean goes = host.listing == Host.Listing.GONE && (host.suspect || !sendable(host));
         return goes && host.out.isEmpty() && host.group.members.remove(host);
@@ -205,8 +285,9 @@
 
     private void relist(Host host, Host.Listing listing) {
         host.listing = listing;
-        host.seenDraining = listing == Host.Listing.DRAINING
-                || host.seenDraining && listing != Host.Listing.READY;
+        host.seenDraining =
+                listing == Host.Listing.DRAINING
+                        || host.seenDraining && listing != Host.Listing.READY;
     }
 
     private void restarted(Host host, Moment startedAt) {
@@ -218,7 +299,10 @@
         }
     }
 
-    /** A late list must not overrule an answer: only a change counts, and only with nothing better known. */
+    /**
+     * A late list must not overrule an answer: only a change counts, and only with nothing better
+     * known.
+     */
     private void listedRole(Host host, boolean primary) {
         boolean changed = primary && !host.listedPrimary;
         host.listedPrimary = primary;
@@ -267,8 +351,10 @@
             return;
         }
         if (host.refused) {
-            // It runs, yet refused a connection; one that was down failed its probe first. Guards against few
-            // connections for many routers: each gives back what it doesn't use. Harm: more handshakes.
+            // It runs, yet refused a connection; one that was down failed its probe first. Guards
+            // against few
+            // connections for many routers: each gives back what it doesn't use. Harm: more
+            // handshakes.
             host.refused = false;
             scarceUntil = now.plus(SCARCE_HOLDS);
             trust(host);
@@ -277,18 +363,28 @@
             host.position = host.position.later(position);
             host.reportHeard = now;
             host.lateness = now.since(position);
-            host.group.leastLateness = host.group.members.stream()
-                    .filter(h -> now.since(h.reportHeard).shorterThan(REPORT_HOLDS))
-                    .map(h -> h.lateness).min(Comparator.naturalOrder()).orElse(Span.ZERO);
-            // A report is as old as its position at the least, so a late report cannot overrule an answer.
+            host.group.leastLateness =
+                    host.group.members.stream()
+                            .filter(h -> now.since(h.reportHeard).shorterThan(REPORT_HOLDS))
+                            .map(h -> h.lateness)
+                            .min(Comparator.naturalOrder())
+                            .orElse(Span.ZERO);
+            // A report is as old as its position at the least, so a late report cannot overrule an
+            // answer.
             heardRole(host, role, position);
             stirred = true;
         }
     }
 
     @Override
-    public void ended(Moment time, CallOut callOut, Outcome outcome, boolean closed, Role role,
-            Moment position, Span took) {
+    public void ended(
+            Moment time,
+            CallOut callOut,
+            Outcome outcome,
+            boolean closed,
+            Role role,
+            Moment position,
+            Span took) {
         now = time;
         stirred = true;
         Rpc rpc = callOut.rpc;
@@ -305,7 +401,8 @@
         if (outcome.answered) {
             answered(callOut, outcome, role, position, took);
         } else if (outcome == Outcome.UNREACHED && !host.lastHeard.after(callOut.sent)) {
-            // One connection of many that stays silent is no silent host: it has answered on another since.
+            // One connection of many that stays silent is no silent host: it has answered on
+            // another since.
             host.refused = took.shorterThan(AT_ONCE);
             doubt(host);
             if (host.refused && newsProbes.take()) {
@@ -318,16 +415,23 @@
         if (now.before(scarceUntil) && host.out.isEmpty()) {
             outbound.closeIdle(host);
         }
-        step(rpc, outcome == Outcome.OK ? Input.OK
-                : closed ? Input.LEFT : outcome.provesUnrun ? Input.UNRUN : Input.UNSURE);
+        step(
+                rpc,
+                outcome == Outcome.OK
+                        ? Input.OK
+                        : closed ? Input.LEFT : outcome.provesUnrun ? Input.UNRUN : Input.UNSURE);
     }
 
-    /** A pool with room for less than one call-out rests after each, in proportion to the time it took. */
+    /**
+     * A pool with room for less than one call-out rests after each, in proportion to the time it
+     * took.
+     */
     private void leave(CallOut callOut, Span took) {
         Room pool = callOut.pool;
         if (!callOut.stranded) {
             pool.out--;
-            Span held = took.longer(callOut.overdue ? callOut.rpc.method.softDeadline() : Span.ZERO);
+            Span held =
+                    took.longer(callOut.overdue ? callOut.rpc.method.softDeadline() : Span.ZERO);
             pool.freeAt = pool.freeAt.later(now.plus(held.times(Math.max(0, 1 / pool.limit - 1))));
         }
     }
@@ -339,7 +443,8 @@
         if (outcome == Outcome.FULL) {
             // A hung host whose queue is full still turns work away: that is no sign of health.
             rest(host);
-            host.room.limit = Math.max(LEAST_LIMIT, Math.min(host.room.limit, host.out.size()) * LIMIT_CUT);
+            host.room.limit =
+                    Math.max(LEAST_LIMIT, Math.min(host.room.limit, host.out.size()) * LIMIT_CUT);
             callOut.overdue = true;
             strained(callOut, 1);
         } else if (outcome == Outcome.ERROR) {
@@ -357,7 +462,8 @@
         boolean committed = outcome == Outcome.OK && freshness == Freshness.WRITE;
         if (position.after(Moment.NEVER)) {
             // A commit is told rounded up, so the log is known applied only to just before it.
-            host.position = host.position.later(committed ? position.minus(COMMIT_ROUNDING) : position);
+            host.position =
+                    host.position.later(committed ? position.minus(COMMIT_ROUNDING) : position);
             if (committed && deployment.sessionsRemembered() && rpc.session != null) {
                 commits.put(rpc.session, new Commit(host.group, position));
             }
@@ -387,10 +493,11 @@
     }
 
     /**
-     * Tells RPCs that err wherever they go from hosts that err on whatever comes: only a row of errors that
-     * the share of errors among all answers doesn't explain is held against a host, and an RPC that has erred
-     * at two hosts is itself to blame. Guards against floods of bad RPCs that would put every host to rest.
-     * Harm: while many RPCs err, a host that errs on all is left later.
+     * Tells RPCs that err wherever they go from hosts that err on whatever comes: only a row of
+     * errors that the share of errors among all answers doesn't explain is held against a host, and
+     * an RPC that has erred at two hosts is itself to blame. Guards against floods of bad RPCs that
+     * would put every host to rest. Harm: while many RPCs err, a host that errs on all is left
+     * later.
      */
     private void erred(Rpc rpc, Host host) {
         if (rpc.erredAt == null) {
@@ -435,11 +542,12 @@
     }
 
     /**
-     * The longer nothing was heard, the more a sample weighs: routers with little traffic must learn, and
-     * give way, as fast as others. Returns the weight.
+     * The longer nothing was heard, the more a sample weighs: routers with little traffic must
+     * learn, and give way, as fast as others. Returns the weight.
      */
     private double learn(Mean mean, double sample, double least) {
-        double weight = Math.max(least, Math.min(MOST_WEIGHT, now.since(mean.heard).over(SAMPLES_OVER)));
+        double weight =
+                Math.max(least, Math.min(MOST_WEIGHT, now.since(mean.heard).over(SAMPLES_OVER)));
         mean.value += weight * (sample - mean.value);
         mean.heard = now;
         return weight;
@@ -447,7 +555,12 @@
 
     private void strained(CallOut callOut, double ratio) {
         pace(callOut.host.room, ratio, HOST_SMOOTHING, callOut.host.out.size(), LEAST_LIMIT);
-        pace(callOut.pool, ratio, SMOOTHING, callOut.pool.out, leastOf(callOut.pool, callOut.host.group));
+        pace(
+                callOut.pool,
+                ratio,
+                SMOOTHING,
+                callOut.pool.out,
+                leastOf(callOut.pool, callOut.host.group));
     }
 
     /** How many of ours may be out, by how answer times compare with soft deadlines. */
@@ -457,20 +570,27 @@
             return;
         }
         if (room.strain.value > STRAINED) {
-            room.limit = Math.max(least, Math.min(room.limit, out + 1) * Math.min(LIMIT_CUT, 1 - weight));
+            room.limit =
+                    Math.max(
+                            least, Math.min(room.limit, out + 1) * Math.min(LIMIT_CUT, 1 - weight));
             room.moved = now;
         } else if (room.strain.value < EASY && out + 1 >= room.limit) {
             double ease = 1 - room.strain.value / EASY;
-            room.limit = Math.min(MOST_LIMIT,
-                    room.limit * (1 + LIMIT_GROWTH * ease) + LIMIT_STEP * Math.min(1, room.limit));
+            room.limit =
+                    Math.min(
+                            MOST_LIMIT,
+                            room.limit * (1 + LIMIT_GROWTH * ease)
+                                    + LIMIT_STEP * Math.min(1, room.limit));
             room.moved = now;
         }
     }
 
     /** Our part of the few call-outs a host that any host can work on without delay. */
     private double leastOf(Room pool, Group group) {
-        long count = group.members.stream()
-                .filter(host -> sendable(host) && !host.suspect && poolOf(host) == pool).count();
+        long count =
+                group.members.stream()
+                        .filter(host -> sendable(host) && !host.suspect && poolOf(host) == pool)
+                        .count();
         return LEAST_A_HOST * Math.max(1, count) / deployment.routers();
     }
 
@@ -480,7 +600,9 @@
 
     private boolean roomAt(Host host) {
         Room pool = poolOf(host);
-        return host.out.size() < host.room.limit && pool.out < pool.limit && !now.before(pool.freeAt);
+        return host.out.size() < host.room.limit
+                && pool.out < pool.limit
+                && !now.before(pool.freeAt);
     }
 
     private Room poolOf(Host host) {
@@ -491,7 +613,9 @@
     private void noteOverdue(Host host) {
         for (CallOut callOut : host.out) {
             Span waited = now.since(callOut.sent);
-            if (!callOut.overdue && !host.suspect && waited.longerThan(callOut.rpc.method.softDeadline())) {
+            if (!callOut.overdue
+                    && !host.suspect
+                    && waited.longerThan(callOut.rpc.method.softDeadline())) {
                 callOut.overdue = true;
                 strained(callOut, 1);
                 learn(host.zoneAnswerUs, waited.us(), HOST_SMOOTHING);
@@ -502,9 +626,9 @@
     // ---- silence
 
     /**
-     * Guards against hosts that take work and answer nothing, whatever the cause: hung, gone silent, cut off.
-     * The more call-outs wait, the sooner it is told. Harm: a host in a long pause loses its traffic for a
-     * moment.
+     * Guards against hosts that take work and answer nothing, whatever the cause: hung, gone
+     * silent, cut off. The more call-outs wait, the sooner it is told. Harm: a host in a long pause
+     * loses its traffic for a moment.
      */
     private void listenTo(Host host) {
         double waited = 0;
@@ -513,7 +637,9 @@
             waited += now.since(host.out.get(i).sent.later(host.lastHeard)).us();
         }
         double mean = Math.max(allMeanUs, Math.max(host.zoneAnswerUs.value, host.answerUs.value));
-        if (!host.suspect && waited > SILENCE * mean && now.since(quietSince).longerThan(LEAST_SILENCE)) {
+        if (!host.suspect
+                && waited > SILENCE * mean
+                && now.since(quietSince).longerThan(LEAST_SILENCE)) {
             doubt(host);
         } else if (host.suspect) {
             for (CallOut trial : new ArrayList<>(host.out)) {
@@ -542,7 +668,8 @@
     }
 
     private void putOffTrial(Host host) {
-        host.nextTrial = now.plus(TRIAL_EVERY.times(1 << Math.min(TRIAL_DOUBLINGS, host.trialsFailed)));
+        host.nextTrial =
+                now.plus(TRIAL_EVERY.times(1 << Math.min(TRIAL_DOUBLINGS, host.trialsFailed)));
     }
 
     private void trust(Host host) {
@@ -550,10 +677,15 @@
         host.trialsFailed = 0;
     }
 
-    /** Sends elsewhere what may run again: a second copy where allowed, else once the first is called off. */
+    /**
+     * Sends elsewhere what may run again: a second copy where allowed, else once the first is
+     * called off.
+     */
     private void rescue(CallOut callOut) {
         Rpc rpc = callOut.rpc;
-        if (rpc.stage != Stage.OUT || rpc.method.effect() != Effect.IDEMPOTENT || callOut.cancelled) {
+        if (rpc.stage != Stage.OUT
+                || rpc.method.effect() != Effect.IDEMPOTENT
+                || callOut.cancelled) {
             return;
         }
         if (deployment.parallelCallOuts()) {
@@ -567,9 +699,14 @@
         }
     }
 
-    /** A suspect host gets one idempotent RPC now and then, once a probe has shown that something runs. */
+    /**
+     * A suspect host gets one idempotent RPC now and then, once a probe has shown that something
+     * runs.
+     */
     private boolean trialDue(Host host, Rpc rpc) {
-        return rpc.method.effect() == Effect.IDEMPOTENT && rpc.callOuts.isEmpty() && host.probeAnswered
+        return rpc.method.effect() == Effect.IDEMPOTENT
+                && rpc.callOuts.isEmpty()
+                && host.probeAnswered
                 && !now.before(host.nextTrial);
     }
 
@@ -607,7 +744,8 @@
             Bucket share = shares.get(rpc.customer.index());
             rpc.overShare = rpc.repeat ? share.empty() : !share.take();
         }
-        positionProbes.fill(Math.min(MOST_PROBE_SHARE, POSITION_SPEND / deployment.probePrice()), BURST);
+        positionProbes.fill(
+                Math.min(MOST_PROBE_SHARE, POSITION_SPEND / deployment.probePrice()), BURST);
         newsProbes.fill(Math.min(MOST_PROBE_SHARE, NEWS_SPEND / deployment.probePrice()), BURST);
         if (!rpc.group.used) {
             rpc.group.used = true;
@@ -623,7 +761,9 @@
     }
 
     private void holdIfRepeatable(Rpc rpc) {
-        if (rpc.method.effect() == Effect.NON_IDEMPOTENT || !repeatable(rpc) || !now.before(rpc.deadline)
+        if (rpc.method.effect() == Effect.NON_IDEMPOTENT
+                || !repeatable(rpc)
+                || !now.before(rpc.deadline)
                 || rpc.errsAnywhere) {
             step(rpc, Input.HOPELESS);
         } else {
@@ -633,7 +773,9 @@
 
     private void finish(Rpc rpc) {
         for (CallOut callOut : rpc.callOuts) {
-            if (!callOut.ended && !callOut.cancelled && deployment.cancelAllowed()
+            if (!callOut.ended
+                    && !callOut.cancelled
+                    && deployment.cancelAllowed()
                     && rpc.method.effect() == Effect.IDEMPOTENT) {
                 callOut.cancelled = true;
                 outbound.cancel(callOut);
@@ -653,11 +795,12 @@
 
     /** Rule 2, for answers: a pushback says that trying again is harmless. */
     private boolean mayPushBack(Rpc rpc) {
-        return rpc.out == 0 && switch (rpc.method.effect()) {
-            case IDEMPOTENT -> true;
-            case TOKENED -> rpc.firstMayHaveRun == null || rpc.method.repeatsAnywhere();
-            case NON_IDEMPOTENT -> rpc.firstMayHaveRun == null;
-        };
+        return rpc.out == 0
+                && switch (rpc.method.effect()) {
+                    case IDEMPOTENT -> true;
+                    case TOKENED -> rpc.firstMayHaveRun == null || rpc.method.repeatsAnywhere();
+                    case NON_IDEMPOTENT -> rpc.firstMayHaveRun == null;
+                };
     }
 
     private double worthNow(Rpc rpc) {
@@ -673,11 +816,13 @@
         }
         Method method = rpc.method;
         Span mean = new Span((long) meanUs[method.index()]);
-        Span use = method.softDeadline().minus(mean.shorter(method.softDeadline().times(LEAST_USE)));
+        Span use =
+                method.softDeadline().minus(mean.shorter(method.softDeadline().times(LEAST_USE)));
         Span early = rpc.deadline.since(rpc.arrived).times(UNSEEN_HOLD).minus(LOOK_EVERY.times(2));
         Span waited = now.since(rpc.arrived);
         boolean unseen = rpc.callOuts.isEmpty() && !waited.shorterThan(early);
-        boolean useless = method.lateUtility() < LATE_HOLD * method.utility() && !waited.shorterThan(use);
+        boolean useless =
+                method.lateUtility() < LATE_HOLD * method.utility() && !waited.shorterThan(use);
         boolean shed = rpc.overShare && waited.over(method.softDeadline()) > SHED_OVER_SHARE;
         if (lastCall(rpc) || unseen || useless || shed && mayPushBack(rpc)) {
             step(rpc, Input.HOPELESS);
@@ -688,7 +833,10 @@
         return !now.before(rpc.deadline.minus(deployment.tick().times(2)));
     }
 
-    /** Guards against a look that comes late: what is held is answered by its deadline, looked at or not. */
+    /**
+     * Guards against a look that comes late: what is held is answered by its deadline, looked at or
+     * not.
+     */
     private boolean anyAtLastCall() {
         for (Rpc rpc : held) {
             if (lastCall(rpc)) {
@@ -705,8 +853,10 @@
         return switch (rpc.method.freshness()) {
             case FRESH, WRITE -> rpc.arrived;
             case BOUNDED -> sent.minus(rpc.method.bound());
-            case SESSION -> deployment.sessionsRemembered() && rpc.session != null
-                    ? commits.getOrDefault(rpc.session, NO_COMMIT).position : rpc.token;
+            case SESSION ->
+                    deployment.sessionsRemembered() && rpc.session != null
+                            ? commits.getOrDefault(rpc.session, NO_COMMIT).position
+                            : rpc.token;
             case ANY -> Moment.NEVER;
         };
     }
@@ -721,7 +871,8 @@
         Group group = rpc.group;
         boolean checks = deployment.hostChecks() == HostChecks.REFUSE;
         if (group.primary != null && group.primary.suspect && fit(rpc, group.primary)) {
-            // A trial, as at a suspect replica: writes are none, and no read may need the primary for long.
+            // A trial, as at a suspect replica: writes are none, and no read may need the primary
+            // for long.
             return group.primary;
         }
         Host replica = chooseReplica(rpc, need, false);
@@ -733,13 +884,15 @@
         }
         boolean waited = checks && rpc.missed || !now.since(rpc.arrived).shorterThan(BRIEF_WAIT);
         return waited && group.primary != null && primaryHasRoomFor(rpc) && fit(rpc, group.primary)
-                ? group.primary : null;
+                ? group.primary
+                : null;
     }
 
     /**
-     * Whether the primary has room for a read beside what only it takes. Where the part for reads is below
-     * one call-out, strain tells instead, the sooner the less the read earns for its time: the many small
-     * parts would add up to a full primary. Strain fades, so that a primary without writes is tried again.
+     * Whether the primary has room for a read beside what only it takes. Where the part for reads
+     * is below one call-out, strain tells instead, the sooner the less the read earns for its time:
+     * the many small parts would add up to a full primary. Strain fades, so that a primary without
+     * writes is tried again.
      */
     private boolean primaryHasRoomFor(Rpc rpc) {
         Room pool = rpc.group.leading;
@@ -750,7 +903,8 @@
             most = primaryOnly(method) ? Math.max(most, earns(method)) : most;
         }
         return rpc.group.primary.out.size() < Math.max(1, part)
-                && (part >= 1 || strain * Math.min(1, 2 * (1 - earns(rpc.method) / most)) < STRAINED);
+                && (part >= 1
+                        || strain * Math.min(1, 2 * (1 - earns(rpc.method) / most)) < STRAINED);
     }
 
     private static boolean primaryOnly(Method method) {
@@ -762,16 +916,19 @@
     }
 
     /**
-     * Fewest of our own call-outs in flight among the replicas known to be past the position; with {@code
-     * presumed}, among the most advanced: where hosts check for themselves, all not known to be behind count
-     * as equally advanced, so that one is not drowned. Harm: a replica that catches up is used a little late.
+     * Fewest of our own call-outs in flight among the replicas known to be past the position; with
+     * {@code presumed}, among the most advanced: where hosts check for themselves, all not known to
+     * be behind count as equally advanced, so that one is not drowned. Harm: a replica that catches
+     * up is used a little late.
      */
     private Host chooseReplica(Rpc rpc, Moment need, boolean presumed) {
         Host best = null;
         double weights = 0;
         for (Host host : rpc.group.members) {
-            boolean passes = presumed ? !behind(host, need) && !triedAt(rpc, host)
-                    : !host.position.before(need);
+            boolean passes =
+                    presumed
+                            ? !behind(host, need) && !triedAt(rpc, host)
+                            : !host.position.before(need);
             if (host == rpc.group.primary || host == rpc.erredAt || !passes || !fit(rpc, host)) {
                 continue;
             }
@@ -788,8 +945,8 @@
     }
 
     /**
-     * Ties at random, with better chances for hosts seen to answer sooner: a router with little traffic has
-     * mostly ties, and would load a slow host like a fast one.
+     * Ties at random, with better chances for hosts seen to answer sooner: a router with little
+     * traffic has mostly ties, and would load a slow host like a fast one.
      */
     private double chance(Host host) {
         double speed = allMeanUs / expectedUs(host);
@@ -797,14 +954,15 @@
     }
 
     /**
-     * Whether a replica would miss: by its last miss, or by how much further behind its report was than the
-     * group's best (late reports make all look behind alike, and tell nothing).
+     * Whether a replica would miss: by its last miss, or by how much further behind its report was
+     * than the group's best (late reports make all look behind alike, and tell nothing).
      */
     private boolean behind(Host host, Moment need) {
-        boolean missedLately = !need.before(host.missedNeed)
-                && now.since(host.missedAt).shorterThan(MISS_HOLDS);
-        boolean lagging = now.since(host.reportHeard).shorterThan(REPORT_HOLDS)
-                && now.minus(host.lateness.minus(host.group.leastLateness)).before(need);
+        boolean missedLately =
+                !need.before(host.missedNeed) && now.since(host.missedAt).shorterThan(MISS_HOLDS);
+        boolean lagging =
+                now.since(host.reportHeard).shorterThan(REPORT_HOLDS)
+                        && now.minus(host.lateness.minus(host.group.leastLateness)).before(need);
         return missedLately || lagging;
     }
 
@@ -823,7 +981,8 @@
             return null;
         }
         for (Host host : group.members) {
-            boolean saidReplica = host.toldReplica && now.since(host.lastHeard).shorterThan(ROLE_HOLDS);
+            boolean saidReplica =
+                    host.toldReplica && now.since(host.lastHeard).shorterThan(ROLE_HOLDS);
             if (!saidReplica && !host.suspect && host.out.isEmpty() && fit(rpc, host)) {
                 return host;
             }
@@ -831,9 +990,13 @@
         return null;
     }
 
-    /** Whether a host may be proposed: not silent (or due for trial), with room, let through by the gate. */
+    /**
+     * Whether a host may be proposed: not silent (or due for trial), with room, let through by the
+     * gate.
+     */
     private boolean fit(Rpc rpc, Host host) {
-        return !now.before(host.restUntil) && (host.suspect ? trialDue(host, rpc) : roomAt(host))
+        return !now.before(host.restUntil)
+                && (host.suspect ? trialDue(host, rpc) : roomAt(host))
                 && gate(rpc, host);
     }
 
@@ -844,15 +1007,21 @@
         return rpc.stage != Stage.OVER
                 && host.group == rpc.group
                 && rpc.callOuts.size() < deployment.mostCallOuts()
-                && (rpc.out == 0 || deployment.parallelCallOuts() && rpc.out < 2
-                        && rpc.method.effect() == Effect.IDEMPOTENT && !triedAt(rpc, host))
+                && (rpc.out == 0
+                        || deployment.parallelCallOuts()
+                                && rpc.out < 2
+                                && rpc.method.effect() == Effect.IDEMPOTENT
+                                && !triedAt(rpc, host))
                 && stillBound(rpc, host)
                 && coldLets(host);
     }
 
     /** What time or news alone may undo between a send's decision and its last byte. */
     private boolean stillBound(Rpc rpc, Host host) {
-        return now.before(rpc.deadline) && repeatable(rpc) && sendable(host) && freshEnough(rpc, host);
+        return now.before(rpc.deadline)
+                && repeatable(rpc)
+                && sendable(host)
+                && freshEnough(rpc, host);
     }
 
     @Override
@@ -861,30 +1030,44 @@
         return callOut.rpc.stage != Stage.OVER && stillBound(callOut.rpc, callOut.host);
     }
 
-    /** Rule 2, for sends. An RPC never leaves its group, which is the scope within which marks are known. */
+    /**
+     * Rule 2, for sends. An RPC never leaves its group, which is the scope within which marks are
+     * known.
+     */
     private boolean repeatable(Rpc rpc) {
-        return rpc.firstMayHaveRun == null || switch (rpc.method.effect()) {
-            case IDEMPOTENT -> true;
-            case TOKENED -> now.plus(deployment.tick()).since(rpc.firstMayHaveRun)
-                    .shorterThan(rpc.method.repeatWindow());
-            case NON_IDEMPOTENT -> false;
-        };
+        return rpc.firstMayHaveRun == null
+                || switch (rpc.method.effect()) {
+                    case IDEMPOTENT -> true;
+                    case TOKENED ->
+                            now.plus(deployment.tick())
+                                    .since(rpc.firstMayHaveRun)
+                                    .shorterThan(rpc.method.repeatWindow());
+                    case NON_IDEMPOTENT -> false;
+                };
     }
 
-    /** Rule 3: where only draining binds, the list's word that a host is gone is no proof of what is up. */
+    /**
+     * Rule 3: where only draining binds, the list's word that a host is gone is no proof of what is
+     * up.
+     */
     private boolean sendable(Host host) {
-        return deployment.onlyDrainingBinds() ? !host.seenDraining : host.listing == Host.Listing.READY;
+        return deployment.onlyDrainingBinds()
+                ? !host.seenDraining
+                : host.listing == Host.Listing.READY;
     }
 
     /** Rule 5. A host held for the primary is excused until its own answer says otherwise. */
     private boolean freshEnough(Rpc rpc, Host host) {
-        return rpc.method.freshness() == Freshness.WRITE || deployment.hostChecks() == HostChecks.REFUSE
-                || host == host.group.primary || !host.position.before(need(rpc, now));
+        return rpc.method.freshness() == Freshness.WRITE
+                || deployment.hostChecks() == HostChecks.REFUSE
+                || host == host.group.primary
+                || !host.position.before(need(rpc, now));
     }
 
     /**
-     * Rule 4: our part of what all routers together may send a cold host in any window. A part below one send
-     * a window becomes a longer wait between sends, begun at a random point: many small routers keep it.
+     * Rule 4: our part of what all routers together may send a cold host in any window. A part
+     * below one send a window becomes a longer wait between sends, begun at a random point: many
+     * small routers keep it.
      */
     private boolean coldLets(Host host) {
         Span age = now.since(host.startedAt);
@@ -900,16 +1083,18 @@
         if (budget >= 1) {
             return host.sends.within(window, now) < (int) budget;
         }
-        // Many spaced sends fall together by chance: the fewer are allowed in all, the more is left free.
+        // Many spaced sends fall together by chance: the fewer are allowed in all, the more is left
+        // free.
         double allowed = budget * deployment.routers();
         Span gap = window.times(1 / (budget * (1 - Math.min(0.5, 1 / Math.sqrt(allowed)))));
-        return !now.before(host.startedAt.plus(gap.times(host.coldPhase)).later(host.sends.last().plus(gap)));
+        return !now.before(
+                host.startedAt.plus(gap.times(host.coldPhase)).later(host.sends.last().plus(gap)));
     }
 
     /**
-     * Our own RPCs that a warm host of this kind has lately served a second, per unit of listed size;
-     * reckoned once a look at the most. Each held RPC asks it of each cold host, and would go through
-     * all hosts anew.
+     * Our own RPCs that a warm host of this kind has lately served a second, per unit of listed
+     * size; reckoned once a look at the most. Each held RPC asks it of each cold host, and would go
+     * through all hosts anew.
      */
     private double warmRate(int kind) {
         warmRates = warmRates == null ? reckonWarmRates() : warmRates;
@@ -922,7 +1107,10 @@
         for (Host host : hosts.values()) {
             if (sendable(host) && !now.since(host.startedAt).shorterThan(deployment.warmAfter())) {
                 sizes.merge(host.kind, host.size, Double::sum);
-                rates.merge(host.kind, host.served.value * lasting(host.served, RATE_OVER), Double::sum);
+                rates.merge(
+                        host.kind,
+                        host.served.value * lasting(host.served, RATE_OVER),
+                        Double::sum);
             }
         }
         double window = RATE_OVER.us() / 1e6 * (1 - Math.exp(-now.since(started).over(RATE_OVER)));
@@ -947,8 +1135,10 @@
             putOffTrial(host);
         }
         host.sends.note(now);
-        boolean calledOff = deployment.cancelAllowed() || deployment.parallelCallOuts()
-                || rpc.method.effect() != Effect.IDEMPOTENT;
+        boolean calledOff =
+                deployment.cancelAllowed()
+                        || deployment.parallelCallOuts()
+                        || rpc.method.effect() != Effect.IDEMPOTENT;
         outbound.send(callOut, calledOff ? Span.ZERO : new Span((long) (SILENCE * allMeanUs)));
         step(rpc, Input.SENT);
         return true;
@@ -984,8 +1174,9 @@
     }
 
     private void placeHeld() {
-        held.sort(Comparator.comparingDouble((Rpc rpc) -> -worthNow(rpc))
-                .thenComparing(Comparator.comparing((Rpc rpc) -> rpc.arrived).reversed()));
+        held.sort(
+                Comparator.comparingDouble((Rpc rpc) -> -worthNow(rpc))
+                        .thenComparing(Comparator.comparing((Rpc rpc) -> rpc.arrived).reversed()));
         new ArrayList<>(held).forEach(rpc -> step(rpc, Input.LOOK));
         held.removeIf(rpc -> rpc.stage != Stage.HELD);
     }
@@ -998,18 +1189,29 @@
             shares.get(customer.index()).fill(rate * seconds, Math.max(LEAST_SHARE, rate));
         }
         if (!commits.isEmpty()) {
-            commits.values().removeIf(commit -> commit.group.members.stream()
-                    .allMatch(host -> !sendable(host) || !host.position.before(commit.position)));
+            commits.values()
+                    .removeIf(
+                            commit ->
+                                    commit.group.members.stream()
+                                            .allMatch(
+                                                    host ->
+                                                            !sendable(host)
+                                                                    || !host.position.before(
+                                                                            commit.position)));
         }
     }
 
-    /** Probes: for news of a missing primary, for a sign of life of suspects, and to keep positions young. */
+    /**
+     * Probes: for news of a missing primary, for a sign of life of suspects, and to keep positions
+     * young.
+     */
     private void probeAround() {
         Host oldest = null;
         Host unheard = null;
         for (Group group : groups.values()) {
-            boolean misplaced = now.since(group.lastMisplaced).shorterThan(NEWS_EVERY)
-                    || group.primary != null && group.primary.suspect;
+            boolean misplaced =
+                    now.since(group.lastMisplaced).shorterThan(NEWS_EVERY)
+                            || group.primary != null && group.primary.suspect;
             for (Host host : group.members) {
                 if (!group.used || host.probeOut || !sendable(host)) {
                     continue;
@@ -1025,8 +1227,10 @@
         if (unheard != null && newsProbes.take()) {
             probe(unheard);
         }
-        if (oldest != null && deployment.probesTellPosition()
-                && now.since(oldest.position).longerThan(halfBound) && positionProbes.take()) {
+        if (oldest != null
+                && deployment.probesTellPosition()
+                && now.since(oldest.position).longerThan(halfBound)
+                && positionProbes.take()) {
             probe(oldest);
         }
     }
--- a/router/src/main/java/ironwind/adapter/Adapter.java
+++ b/router/src/main/java/ironwind/adapter/Adapter.java
@@ -34,7 +34,10 @@
         this.out = out;
     }
 
-    /** Runs until the input ends. Returns the process's exit code; says on {@code errors} what was malformed. */
+    /**
+     * Runs until the input ends. Returns the process's exit code; says on {@code errors} what was
+     * malformed.
+     */
     public int run(Appendable errors) throws IOException {
         try {
             for (Line line = next(); line != null; line = next()) {
@@ -55,7 +58,11 @@
         while (true) {
             Line line = next();
             if (line == null) {
-                throw new WireFault(lineNumber, "", "OVER_TO_YOU", "is missing: the input ended inside a batch");
+                throw new WireFault(
+                        lineNumber,
+                        "",
+                        "OVER_TO_YOU",
+                        "is missing: the input ended inside a batch");
             }
             if (line.name().equals("OVER_TO_YOU")) {
                 break;
@@ -79,7 +86,9 @@
                 int number = line.needSmall("router");
                 touched.remove(doors.remove(number));
                 Deployment deployment = DeploymentReader.read(line);
-                doors.put(number, new RouterDoor(number, line.needWhole("entropy"), deployment, reply));
+                doors.put(
+                        number,
+                        new RouterDoor(number, line.needWhole("entropy"), deployment, reply));
                 touch(line);
             }
             case "DOWN" -> touched.remove(doors.remove(line.needSmall("router")));
@@ -123,8 +132,11 @@
         for (int i = 0; i < count; i++) {
             Line item = next();
             if (item == null || !item.name().equals("ITEM")) {
-                throw new WireFault(lineNumber, "DEFINE_LIST", "elements", "promises " + count + " ITEM lines, "
-                        + i + " came");
+                throw new WireFault(
+                        lineNumber,
+                        "DEFINE_LIST",
+                        "elements",
+                        "promises " + count + " ITEM lines, " + i + " came");
             }
             entries.add(entry(item));
         }
@@ -133,16 +145,23 @@
 
     private static RosterEntry entry(Line item) {
         int health = item.small("health", 0);
-        Host.Listing listing = switch (health) {
-            case 0 -> Host.Listing.READY;
-            case 1 -> Host.Listing.DRAINING;
-            case 2 -> Host.Listing.GONE;
-            default -> throw item.fault("health", "has an unknown value: " + health);
-        };
+        Host.Listing listing =
+                switch (health) {
+                    case 0 -> Host.Listing.READY;
+                    case 1 -> Host.Listing.DRAINING;
+                    case 2 -> Host.Listing.GONE;
+                    default -> throw item.fault("health", "has an unknown value: " + health);
+                };
         long since = item.whole("online_since_us", 0);
-        return new RosterEntry(item.need("host"), item.small("zone", 0), item.small("type", 0),
-                item.small("shard", 0), listing, item.number("power_hint", 1),
-                since == 0 ? Moment.NEVER : new Moment(since), item.number("leads", 0) >= 1);
+        return new RosterEntry(
+                item.need("host"),
+                item.small("zone", 0),
+                item.small("type", 0),
+                item.small("shard", 0),
+                listing,
+                item.number("power_hint", 1),
+                since == 0 ? Moment.NEVER : new Moment(since),
+                item.number("leads", 0) >= 1);
     }
 
     /** The next line that is not empty, or null at the end of the input. */
--- a/router/src/main/java/ironwind/adapter/Line.java
+++ b/router/src/main/java/ironwind/adapter/Line.java
@@ -3,7 +3,10 @@
 import ironwind.start.NamedValues;
 import java.util.Base64;
 
-/** One line of the wire: a name and tab-parted name=value fields, looked up without regular expressions. */
+/**
+ * One line of the wire: a name and tab-parted name=value fields, looked up without regular
+ * expressions.
+ */
 final class Line implements NamedValues {
     private final String text;
     private final long number;
@@ -28,7 +31,9 @@
             int start = from + 1;
             int end = text.indexOf('\t', start);
             int stop = end < 0 ? text.length() : end;
-            if (stop - start > length && text.charAt(start + length) == '=' && text.startsWith(key, start)) {
+            if (stop - start > length
+                    && text.charAt(start + length) == '='
+                    && text.startsWith(key, start)) {
                 return text.substring(start + length + 1, stop);
             }
             from = end;
--- a/router/src/main/java/ironwind/adapter/RouterDoor.java
+++ b/router/src/main/java/ironwind/adapter/RouterDoor.java
@@ -19,14 +19,35 @@
 import java.util.List;
 import java.util.Map;
 
-/** One router instance at the wire's door: ids become objects on the way in, and ids again on the way out. */
+/**
+ * One router instance at the wire's door: ids become objects on the way in, and ids again on the
+ * way out.
+ */
 final class RouterDoor implements Outbound {
-    private static final Map<String, Outcome> CODES = Map.of(
-            "delivered", Outcome.OK, "app_error", Outcome.ERROR, "shed", Outcome.FULL,
-            "expired", Outcome.EXPIRED, "dial_failed", Outcome.UNREACHED, "dropped", Outcome.BROKEN,
-            "revoked", Outcome.CANCELLED, "unused", Outcome.UNSENT, "empty", Outcome.MISS);
+    private static final Map<String, Outcome> CODES =
+            Map.of(
+                    "delivered",
+                    Outcome.OK,
+                    "app_error",
+                    Outcome.ERROR,
+                    "shed",
+                    Outcome.FULL,
+                    "expired",
+                    Outcome.EXPIRED,
+                    "dial_failed",
+                    Outcome.UNREACHED,
+                    "dropped",
+                    Outcome.BROKEN,
+                    "revoked",
+                    Outcome.CANCELLED,
+                    "unused",
+                    Outcome.UNSENT,
+                    "empty",
+                    Outcome.MISS);
+
     /** A position travels as four times itself, plus the role. */
     private static final int NOTE_PARTS = 4;
+
     private static final int ROLE_PRIMARY = 1;
     private static final int ROLE_REPLICA = 2;
 
@@ -47,7 +68,7 @@
     void listed(Moment now, Line line, Map<Integer, List<RosterEntry>> lists) {
         int scope = line.needSmall("scope");
         switch (scope) {
-            case 1 -> { }
+            case 1 -> {}
             case 0, 2, 3 -> {
                 List<RosterEntry> entries = lists.get(line.needSmall("ref"));
                 if (entries == null) {
@@ -63,20 +84,34 @@
         String id = line.need("txn");
         Method method = deployment.methods().get(index(line, "lane", deployment.methods().size()));
         int count = deployment.customers().size();
-        Customer customer = count == 0 ? null : deployment.customers().get(index(line, "account", count));
+        Customer customer =
+                count == 0 ? null : deployment.customers().get(index(line, "account", count));
         double tokenAge = line.number("token_age_ms", 0);
         // The age is rounded down, so that the position asked for is never too low.
-        Moment token = tokenAge <= 0 ? Moment.NEVER : now.minus(new Span((long) Math.floor(tokenAge * 1_000)));
+        Moment token =
+                tokenAge <= 0
+                        ? Moment.NEVER
+                        : now.minus(new Span((long) Math.floor(tokenAge * 1_000)));
         Moment deadline = new Moment(line.whole("not_after_us", now.plus(method.deadline()).us()));
-        guard(() -> {
-            int number = (int) line.number("cluster", 0);
-            Group listed = logic.group(number);
-            Group group = listed == null ? new Group(number) : listed;
-            Rpc rpc = new Rpc(id, method, customer, group, line.text("conn_key"), now, deadline, token,
-                    line.flag("repeat"));
-            rpcs.put(id, rpc);
-            logic.arrived(now, rpc);
-        });
+        guard(
+                () -> {
+                    int number = (int) line.number("cluster", 0);
+                    Group listed = logic.group(number);
+                    Group group = listed == null ? new Group(number) : listed;
+                    Rpc rpc =
+                            new Rpc(
+                                    id,
+                                    method,
+                                    customer,
+                                    group,
+                                    line.text("conn_key"),
+                                    now,
+                                    deadline,
+                                    token,
+                                    line.flag("repeat"));
+                    rpcs.put(id, rpc);
+                    logic.arrived(now, rpc);
+                });
     }
 
     void ended(Moment now, Line line) {
@@ -91,17 +126,31 @@
         Span took = new Span(line.whole("lag_us", 0));
         boolean closed = line.flag("final");
         Rpc rpc = rpcs.get(id);
-        if (rpc == null || attempt < 0 || attempt >= rpc.callOuts.size() || rpc.callOuts.get(attempt).ended) {
+        if (rpc == null
+                || attempt < 0
+                || attempt >= rpc.callOuts.size()
+                || rpc.callOuts.get(attempt).ended) {
             return;
         }
-        Role role = switch ((int) (note % NOTE_PARTS)) {
-            case ROLE_PRIMARY -> Role.PRIMARY;
-            case ROLE_REPLICA -> Role.REPLICA;
-            default -> Role.UNTOLD;
-        };
+        Role role =
+                switch ((int) (note % NOTE_PARTS)) {
+                    case ROLE_PRIMARY -> Role.PRIMARY;
+                    case ROLE_REPLICA -> Role.REPLICA;
+                    default -> Role.UNTOLD;
+                };
         long ms = note / NOTE_PARTS;
-        Moment position = ms == 0 ? Moment.NEVER : deployment.positionZero().plus(Span.ofMillis(ms));
-        guard(() -> logic.ended(now, rpc.callOuts.get(attempt), outcome, closed, role, position, took));
+        Moment position =
+                ms == 0 ? Moment.NEVER : deployment.positionZero().plus(Span.ofMillis(ms));
+        guard(
+                () ->
+                        logic.ended(
+                                now,
+                                rpc.callOuts.get(attempt),
+                                outcome,
+                                closed,
+                                role,
+                                position,
+                                took));
         forget(rpc);
     }
 
@@ -111,14 +160,19 @@
         double seconds = line.reported("usage", "x0");
         double leads = line.reported("usage", "x1");
         Role role = Double.isNaN(leads) ? Role.UNTOLD : leads >= 1 ? Role.PRIMARY : Role.REPLICA;
-        Moment position = Double.isNaN(seconds) ? Moment.NEVER
-                : deployment.positionZero().plus(new Span((long) Math.floor(seconds * 1_000_000)));
-        guard(() -> {
-            Host host = logic.host(id);
-            if (host != null) {
-                logic.probed(now, host, answered, role, position);
-            }
-        });
+        Moment position =
+                Double.isNaN(seconds)
+                        ? Moment.NEVER
+                        : deployment
+                                .positionZero()
+                                .plus(new Span((long) Math.floor(seconds * 1_000_000)));
+        guard(
+                () -> {
+                    Host host = logic.host(id);
+                    if (host != null) {
+                        logic.probed(now, host, answered, role, position);
+                    }
+                });
     }
 
     void left(Moment now, Line line) {
@@ -133,7 +187,10 @@
         guard(() -> logic.settle(now));
     }
 
-    /** An exception of the module ends this instance's day with a text that helps; it never takes others along. */
+    /**
+     * An exception of the module ends this instance's day with a text that helps; it never takes
+     * others along.
+     */
     private void guard(Runnable step) {
         if (failed) {
             return;
@@ -171,7 +228,11 @@
 
     @Override
     public void send(CallOut callOut, Span limit) {
-        action("HAND_OFF").append("\ttxn=").append(callOut.rpc.id).append("\thost=").append(callOut.host.id);
+        action("HAND_OFF")
+                .append("\ttxn=")
+                .append(callOut.rpc.id)
+                .append("\thost=")
+                .append(callOut.host.id);
         if (limit.us() > 0) {
             reply.append("\tlimit_us=").append(limit.us());
         }
@@ -180,7 +241,11 @@
 
     @Override
     public void cancel(CallOut callOut) {
-        action("UNDO_SEND").append("\ttxn=").append(callOut.rpc.id).append("\tseq_no=").append(callOut.number)
+        action("UNDO_SEND")
+                .append("\ttxn=")
+                .append(callOut.rpc.id)
+                .append("\tseq_no=")
+                .append(callOut.number)
                 .append('\n');
     }
 
--- a/router/src/main/java/ironwind/adapter/WireFault.java
+++ b/router/src/main/java/ironwind/adapter/WireFault.java
@@ -5,6 +5,13 @@
     private static final long serialVersionUID = 1L;
 
     WireFault(long line, String message, String field, String what) {
-        super("line " + line + (message.isEmpty() ? "" : " (" + message + ")") + ": field '" + field + "' " + what);
+        super(
+                "line "
+                        + line
+                        + (message.isEmpty() ? "" : " (" + message + ")")
+                        + ": field '"
+                        + field
+                        + "' "
+                        + what);
     }
 }
--- a/router/src/main/java/ironwind/boot/Main.java
+++ b/router/src/main/java/ironwind/boot/Main.java
@@ -7,8 +7,8 @@
 import ironwind.start.Installation.LogForm;
 import ironwind.start.StartFacts;
 import ironwind.start.StartFault;
-import java.io.FileOutputStream;
 import java.io.FileDescriptor;
+import java.io.FileOutputStream;
 import java.io.IOException;
 import java.io.InputStream;
 import java.io.OutputStream;
@@ -16,9 +16,13 @@
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Path;
 
-/** The small command line of a router's own jar, which starts quickly; {@code ironwind.cli} has the whole one. */
+/**
+ * The small command line of a router's own jar, which starts quickly; {@code ironwind.cli} has the
+ * whole one.
+ */
 public final class Main {
-    private static final String USAGE = """
+    private static final String USAGE =
+            """
             usage: ironwind COMMAND
 
             commands:
@@ -32,11 +36,12 @@
     private static final int USAGE_ERROR = 2;
     private static final int START_ERROR = 1;
 
-    private Main() {
-    }
+    private Main() {}
 
     public static void main(String[] args) throws IOException {
-        PrintStream errors = new PrintStream(new FileOutputStream(FileDescriptor.err), true, StandardCharsets.UTF_8);
+        PrintStream errors =
+                new PrintStream(
+                        new FileOutputStream(FileDescriptor.err), true, StandardCharsets.UTF_8);
         int code = run(args, System.in, new FileOutputStream(FileDescriptor.out), errors);
         if (code != 0) {
             System.exit(code);
@@ -52,17 +57,23 @@
             StartFacts facts = StartFacts.read(Path.of(file));
             Installation installation = Installation.of(facts, hcl == null ? null : Path.of(hcl));
             if (installation.logForm() != LogForm.PAIRS) {
-                throw new StartFault("log.form: this jar writes pairs only, the ironwind command writes json too");
+                throw new StartFault(
+                        "log.form: this jar writes pairs only, the ironwind command writes json too");
             }
             new Service(Path.of(file), facts, installation, new Log(errors).withLibraries()).run();
             return 0;
         } catch (Exception e) {
-            errors.println("ironwind: " + (e instanceof StartFault || e instanceof HclFault ? e.getMessage() : e));
+            errors.println(
+                    "ironwind: "
+                            + (e instanceof StartFault || e instanceof HclFault
+                                    ? e.getMessage()
+                                    : e));
             return START_ERROR;
         }
     }
 
-    static int run(String[] args, InputStream in, OutputStream out, PrintStream errors) throws IOException {
+    static int run(String[] args, InputStream in, OutputStream out, PrintStream errors)
+            throws IOException {
         String word = args.length == 1 ? args[0] : "";
         switch (word) {
             case "adapter":
@@ -74,8 +85,9 @@
                 return 0;
             case "--version":
                 String version = Main.class.getPackage().getImplementationVersion();
-                out.write(("ironwind " + (version == null ? "(unpackaged)" : version) + "\n")
-                        .getBytes(StandardCharsets.UTF_8));
+                out.write(
+                        ("ironwind " + (version == null ? "(unpackaged)" : version) + "\n")
+                                .getBytes(StandardCharsets.UTF_8));
                 return 0;
             default:
                 errors.print(USAGE);
--- a/router/src/main/java/ironwind/boot/Service.java
+++ b/router/src/main/java/ironwind/boot/Service.java
@@ -25,11 +25,14 @@
     public void run() throws InterruptedException {
         Signal.handle(new Signal("HUP"), signal -> reload());
         router.start().await();
-        Runtime.getRuntime().addShutdownHook(new Thread(() -> {
-            router.drain().await();
-            router.stop().await();
-            Runtime.getRuntime().halt(0);
-        }));
+        Runtime.getRuntime()
+                .addShutdownHook(
+                        new Thread(
+                                () -> {
+                                    router.drain().await();
+                                    router.stop().await();
+                                    Runtime.getRuntime().halt(0);
+                                }));
         Thread.currentThread().join();
     }
 
--- a/router/src/main/java/ironwind/hcl/Complaints.java
+++ b/router/src/main/java/ironwind/hcl/Complaints.java
@@ -9,8 +9,7 @@
     private final String file;
     private final List<Complaint> all = new ArrayList<>();
 
-    private record Complaint(int line, String words) {
-    }
+    private record Complaint(int line, String words) {}
 
     public Complaints(String file) {
         this.file = file;
@@ -26,8 +25,10 @@
 
     /** One text a complaint, {@code file:line: words}, in the order of the lines. */
     public List<String> lines() {
-        return all.stream().sorted(Comparator.comparingInt(Complaint::line))
-                .map(complaint -> file + ":" + complaint.line + ": " + complaint.words).toList();
+        return all.stream()
+                .sorted(Comparator.comparingInt(Complaint::line))
+                .map(complaint -> file + ":" + complaint.line + ": " + complaint.words)
+                .toList();
     }
 
     /** Throws what was complained of, where anything was. */
--- a/router/src/main/java/ironwind/hcl/HclReader.java
+++ b/router/src/main/java/ironwind/hcl/HclReader.java
@@ -15,8 +15,7 @@
 
 /** From a file's text to blocks. */
 public final class HclReader {
-    private HclReader() {
-    }
+    private HclReader() {}
 
     /** The file as a block; a {@link HclFault} tells what is no HCL, and an unreadable file. */
     public static Block read(Path file, Complaints complaints) {
@@ -29,15 +28,23 @@
         return parse(text, complaints);
     }
 
-    /** The text as a block. Where it is no HCL, complaints say so, and a fault is thrown with them. */
+    /**
+     * The text as a block. Where it is no HCL, complaints say so, and a fault is thrown with them.
+     */
     public static Block parse(String text, Complaints complaints) {
-        BaseErrorListener listener = new BaseErrorListener() {
-            @Override
-            public void syntaxError(Recognizer<?, ?> recognizer, Object symbol, int line, int column, String message,
-                    RecognitionException cause) {
-                complaints.add(line, "no HCL at column " + (column + 1) + ": " + message);
-            }
-        };
+        BaseErrorListener listener =
+                new BaseErrorListener() {
+                    @Override
+                    public void syntaxError(
+                            Recognizer<?, ?> recognizer,
+                            Object symbol,
+                            int line,
+                            int column,
+                            String message,
+                            RecognitionException cause) {
+                        complaints.add(line, "no HCL at column " + (column + 1) + ": " + message);
+                    }
+                };
         HclLexer lexer = new HclLexer(CharStreams.fromString(text));
         lexer.removeErrorListeners();
         lexer.addErrorListener(listener);
@@ -50,7 +57,11 @@
         return block("", List.of(), 1, file.item(), complaints);
     }
 
-    private static Block block(String name, List<String> labels, int line, List<HclParser.ItemContext> items,
+    private static Block block(
+            String name,
+            List<String> labels,
+            int line,
+            List<HclParser.ItemContext> items,
             Complaints complaints) {
         List<Attribute> attributes = new ArrayList<>();
         List<Block> blocks = new ArrayList<>();
@@ -62,14 +73,28 @@
             before = item.getStop().getLine();
             if (item.attribute() != null) {
                 HclParser.AttributeContext attribute = item.attribute();
-                attributes.add(new Attribute(attribute.NAME().getText(), value(attribute.value()),
-                        attribute.getStart().getLine()));
+                attributes.add(
+                        new Attribute(
+                                attribute.NAME().getText(),
+                                value(attribute.value()),
+                                attribute.getStart().getLine()));
             } else {
                 HclParser.BlockContext inner = item.block();
-                List<String> names = inner.label().stream()
-                        .map(label -> label.STRING() == null ? label.getText() : unquoted(label.getText())).toList();
-                blocks.add(block(inner.NAME().getText(), names, inner.getStart().getLine(), inner.item(),
-                        complaints));
+                List<String> names =
+                        inner.label().stream()
+                                .map(
+                                        label ->
+                                                label.STRING() == null
+                                                        ? label.getText()
+                                                        : unquoted(label.getText()))
+                                .toList();
+                blocks.add(
+                        block(
+                                inner.NAME().getText(),
+                                names,
+                                inner.getStart().getLine(),
+                                inner.item(),
+                                complaints));
             }
         }
         return new Block(name, labels, line, attributes, blocks);
--- a/router/src/main/java/ironwind/hcl/Section.java
+++ b/router/src/main/java/ironwind/hcl/Section.java
@@ -15,16 +15,18 @@
 import java.util.regex.Pattern;
 
 /**
- * One block while it is checked: each reader takes a name, what its value may be, and what holds where it is absent.
- * What is wrong is complained of, and the default stands in, so that one pass finds everything. {@link #done} complains
- * of names that nobody asked for.
+ * One block while it is checked: each reader takes a name, what its value may be, and what holds
+ * where it is absent. What is wrong is complained of, and the default stands in, so that one pass
+ * finds everything. {@link #done} complains of names that nobody asked for.
  */
 public final class Section {
     private static final Pattern TIME = Pattern.compile("([0-9]+)(us|ms|s|m|h)");
     private static final Pattern SIZE = Pattern.compile("([0-9]+)(B|KiB|MiB|GiB)");
     private static final Map<String, Long> MICROS =
             Map.of("us", 1L, "ms", 1_000L, "s", 1_000_000L, "m", 60_000_000L, "h", 3_600_000_000L);
-    private static final Map<String, Long> BYTES = Map.of("B", 1L, "KiB", 1L << 10, "MiB", 1L << 20, "GiB", 1L << 30);
+    private static final Map<String, Long> BYTES =
+            Map.of("B", 1L, "KiB", 1L << 10, "MiB", 1L << 20, "GiB", 1L << 30);
+
     /** Numbers longer than this are out of every range. */
     private static final int MOST_DIGITS = 12;
 
@@ -45,8 +47,9 @@
         for (Attribute attribute : block.attributes()) {
             Attribute first = attributes.putIfAbsent(attribute.name(), attribute);
             if (first != null) {
-                complaints.add(attribute.line(), of(attribute.name()) + " is given twice, first in line "
-                        + first.line());
+                complaints.add(
+                        attribute.line(),
+                        of(attribute.name()) + " is given twice, first in line " + first.line());
             }
         }
     }
@@ -55,20 +58,31 @@
         return path.isEmpty() ? name : path + "." + name;
     }
 
-    /** The block of this name, which may stand once and bears no label; an empty one where it is absent. */
+    /**
+     * The block of this name, which may stand once and bears no label; an empty one where it is
+     * absent.
+     */
     public Section only(String name) {
         asked.add(name);
-        List<Block> found = block.blocks().stream().filter(each -> each.name().equals(name)).toList();
+        List<Block> found =
+                block.blocks().stream().filter(each -> each.name().equals(name)).toList();
         for (Block each : found) {
             if (each != found.get(0)) {
-                complaints.add(each.line(), "the block " + of(name) + " is given twice, first in line "
-                        + found.get(0).line());
+                complaints.add(
+                        each.line(),
+                        "the block "
+                                + of(name)
+                                + " is given twice, first in line "
+                                + found.get(0).line());
             }
             if (!each.labels().isEmpty()) {
                 complaints.add(each.line(), "the block " + of(name) + " bears no label");
             }
         }
-        Block one = found.isEmpty() ? new Block(name, List.of(), block.line(), List.of(), List.of()) : found.get(0);
+        Block one =
+                found.isEmpty()
+                        ? new Block(name, List.of(), block.line(), List.of(), List.of())
+                        : found.get(0);
         return new Section(one, of(name), complaints);
     }
 
@@ -77,25 +91,46 @@
     }
 
     public int whole(String name, int least, int most, int otherwise) {
-        return (int) read(name, (long) otherwise, "a whole number from " + least + " to " + most,
-                value -> value instanceof BigDecimal number ? inRange(number, least, most) : null).longValue();
+        return (int)
+                read(
+                                name,
+                                (long) otherwise,
+                                "a whole number from " + least + " to " + most,
+                                value ->
+                                        value instanceof BigDecimal number
+                                                ? inRange(number, least, most)
+                                                : null)
+                        .longValue();
     }
 
     private static Long inRange(BigDecimal number, long least, long most) {
-        boolean whole = number.precision() - number.scale() <= MOST_DIGITS
-                && number.stripTrailingZeros().scale() <= 0;
+        boolean whole =
+                number.precision() - number.scale() <= MOST_DIGITS
+                        && number.stripTrailingZeros().scale() <= 0;
         long value = whole ? number.longValue() : least - 1;
         return whole && value >= least && value <= most ? (Long) value : null;
     }
 
     /** A part of a whole, from 0 to 1. */
     public double part(String name, double otherwise) {
-        return read(name, otherwise, "a number from 0 to 1", value -> value instanceof BigDecimal number
-                && number.signum() >= 0 && number.compareTo(BigDecimal.ONE) <= 0 ? number.doubleValue() : null);
+        return read(
+                name,
+                otherwise,
+                "a number from 0 to 1",
+                value ->
+                        value instanceof BigDecimal number
+                                        && number.signum() >= 0
+                                        && number.compareTo(BigDecimal.ONE) <= 0
+                                ? number.doubleValue()
+                                : null);
     }
 
     public boolean flag(String name, boolean otherwise) {
-        return read(name, otherwise, "true or false", value -> value instanceof Boolean flag ? flag : null);
+        return read(
+                name,
+                otherwise,
+                "true or false",
+                value -> value instanceof Boolean flag ? flag : null);
     }
 
     public String text(String name, String otherwise) {
@@ -104,19 +139,30 @@
 
     /** A time such as "250ms". */
     public Span span(String name, Span least, Span most, Span otherwise) {
-        return read(name, otherwise, "a time such as \"250ms\" from " + told(least) + " to " + told(most),
+        return read(
+                name,
+                otherwise,
+                "a time such as \"250ms\" from " + told(least) + " to " + told(most),
                 value -> {
-                    Long us = value instanceof String text ? scaled(TIME.matcher(text), MICROS) : null;
+                    Long us =
+                            value instanceof String text
+                                    ? scaled(TIME.matcher(text), MICROS)
+                                    : null;
                     return us != null && us >= least.us() && us <= most.us() ? new Span(us) : null;
                 });
     }
 
     /** A size such as "16MiB". */
     public long bytes(String name, long least, long most, long otherwise) {
-        return read(name, otherwise, "a size such as \"16MiB\" from " + least + "B to " + most + "B", value -> {
-            Long bytes = value instanceof String text ? scaled(SIZE.matcher(text), BYTES) : null;
-            return bytes != null && bytes >= least && bytes <= most ? bytes : null;
-        });
+        return read(
+                name,
+                otherwise,
+                "a size such as \"16MiB\" from " + least + "B to " + most + "B",
+                value -> {
+                    Long bytes =
+                            value instanceof String text ? scaled(SIZE.matcher(text), BYTES) : null;
+                    return bytes != null && bytes >= least && bytes <= most ? bytes : null;
+                });
     }
 
     private static Long scaled(Matcher matcher, Map<String, Long> units) {
@@ -132,12 +178,18 @@
 
     /** One of an enumeration's names, in lower case. */
     public <E extends Enum<E>> E choice(String name, Class<E> type, E otherwise) {
-        List<String> names = Arrays.stream(type.getEnumConstants())
-                .map(each -> each.name().toLowerCase(Locale.ROOT)).toList();
-        return read(name, otherwise, "one of " + names, value -> {
-            int at = names.indexOf(String.valueOf(value));
-            return at < 0 ? null : type.getEnumConstants()[at];
-        });
+        List<String> names =
+                Arrays.stream(type.getEnumConstants())
+                        .map(each -> each.name().toLowerCase(Locale.ROOT))
+                        .toList();
+        return read(
+                name,
+                otherwise,
+                "one of " + names,
+                value -> {
+                    int at = names.indexOf(String.valueOf(value));
+                    return at < 0 ? null : type.getEnumConstants()[at];
+                });
     }
 
     private <T> T read(String name, T otherwise, String expected, Function<Object, T> reader) {
@@ -148,27 +200,46 @@
         }
         T value = reader.apply(attribute.value());
         if (value == null) {
-            Object given = attribute.value() instanceof String text ? '"' + text + '"' : attribute.value();
-            complaints.add(attribute.line(), of(name) + ": " + expected + " is expected, not " + given);
+            Object given =
+                    attribute.value() instanceof String text ? '"' + text + '"' : attribute.value();
+            complaints.add(
+                    attribute.line(), of(name) + ": " + expected + " is expected, not " + given);
             return otherwise;
         }
         return value;
     }
 
-    /** Complains where something does not hold that takes two values to tell; at the first of those that is given. */
+    /**
+     * Complains where something does not hold that takes two values to tell; at the first of those
+     * that is given.
+     */
     public void require(boolean holds, String words, String... names) {
         if (!holds) {
-            int line = Arrays.stream(names).filter(attributes::containsKey)
-                    .mapToInt(name -> attributes.get(name).line()).findFirst().orElse(block.line());
+            int line =
+                    Arrays.stream(names)
+                            .filter(attributes::containsKey)
+                            .mapToInt(name -> attributes.get(name).line())
+                            .findFirst()
+                            .orElse(block.line());
             complaints.add(line, of(names[0]) + ": " + words);
         }
     }
 
     /** Nothing more is asked for: what stands here and was not asked for is unknown. */
     public void done() {
-        attributes.values().stream().filter(attribute -> !asked.contains(attribute.name())).forEach(attribute ->
-                complaints.add(attribute.line(), of(attribute.name()) + " is unknown here"));
-        block.blocks().stream().filter(each -> !asked.contains(each.name())).forEach(each ->
-                complaints.add(each.line(), "the block " + of(each.name()) + " is unknown here"));
+        attributes.values().stream()
+                .filter(attribute -> !asked.contains(attribute.name()))
+                .forEach(
+                        attribute ->
+                                complaints.add(
+                                        attribute.line(),
+                                        of(attribute.name()) + " is unknown here"));
+        block.blocks().stream()
+                .filter(each -> !asked.contains(each.name()))
+                .forEach(
+                        each ->
+                                complaints.add(
+                                        each.line(),
+                                        "the block " + of(each.name()) + " is unknown here"));
     }
 }
--- a/router/src/main/java/ironwind/hcl/package-info.java
+++ b/router/src/main/java/ironwind/hcl/package-info.java
@@ -1,2 +1,4 @@
-/** Reads HCL files, and checks them whole: every complaint has its line, and all are told at once. */
+/**
+ * Reads HCL files, and checks them whole: every complaint has its line, and all are told at once.
+ */
 package ironwind.hcl;
--- a/router/src/main/java/ironwind/idle/Budget.java
+++ b/router/src/main/java/ironwind/idle/Budget.java
@@ -49,7 +49,9 @@
         return true;
     }
 
-    /** Lends what cannot be refused, such as an answer that is owed; a negative number gives back. */
+    /**
+     * Lends what cannot be refused, such as an answer that is owed; a negative number gives back.
+     */
     public void force(Use use, long bytes) {
         long[] of = lent.get(use);
         if (of[0] + bytes < 0) {
--- a/router/src/main/java/ironwind/idle/Chain.java
+++ b/router/src/main/java/ironwind/idle/Chain.java
@@ -1,6 +1,8 @@
 package ironwind.idle;
 
-/** Connections of one standing in the order in which they came to it: the first has waited longest. */
+/**
+ * Connections of one standing in the order in which they came to it: the first has waited longest.
+ */
 final class Chain extends Line {
     final Standing standing;
 
--- a/router/src/main/java/ironwind/idle/Debtors.java
+++ b/router/src/main/java/ironwind/idle/Debtors.java
@@ -1,8 +1,9 @@
 package ironwind.idle;
 
 /**
- * The clients that are owed bytes which their sockets did not take, in the order in which they last took any: the
- * first is both the next whose time is out and the first to end where all are owed too much.
+ * The clients that are owed bytes which their sockets did not take, in the order in which they last
+ * took any: the first is both the next whose time is out and the first to end where all are owed
+ * too much.
  */
 public final class Debtors {
     private final Limits limits;
@@ -52,10 +53,15 @@
         return peer.owed > limits.owedEach();
     }
 
-    /** One that is to end, for {@link #whyDue}; null where none is. It is told again until it is forgotten. */
+    /**
+     * One that is to end, for {@link #whyDue}; null where none is. It is told again until it is
+     * forgotten.
+     */
     public Peer due(long now) {
         Peer first = line.first();
-        return first != null && (tooMuch() || now - first.tookAt > limits.slowReaderTime().us()) ? first : null;
+        return first != null && (tooMuch() || now - first.tookAt > limits.slowReaderTime().us())
+                ? first
+                : null;
     }
 
     public Reason whyDue() {
--- a/router/src/main/java/ironwind/idle/Keeper.java
+++ b/router/src/main/java/ironwind/idle/Keeper.java
@@ -7,16 +7,20 @@
 import java.util.Map;
 
 /**
- * Who is let in, who gives way when room ends, and whose time is out. Connections stand in one chain a standing, in
- * the order in which they came to it, so that the first of a chain is both the next whose time is out and the next to
- * give way: no step walks over connections, and none has a timer.
+ * Who is let in, who gives way when room ends, and whose time is out. Connections stand in one
+ * chain a standing, in the order in which they came to it, so that the first of a chain is both the
+ * next whose time is out and the next to give way: no step walks over connections, and none has a
+ * timer.
  */
 public final class Keeper {
     /** The order in which the chains give way; those that are busy never do. */
-    private static final Standing[] GIVING_WAY =
-            {Standing.PARTING, Standing.STRANGER, Standing.GREETED, Standing.SERVED};
+    private static final Standing[] GIVING_WAY = {
+        Standing.PARTING, Standing.STRANGER, Standing.GREETED, Standing.SERVED
+    };
+
     /** Time to read a fatal error: what is closed with input unread takes back what was written. */
     private static final Span FAREWELL = Span.ofMillis(300);
+
     private static final double MILLION = 1e6;
 
     private final Limits limits;
@@ -87,7 +91,10 @@
         return inside >= limits.connections() ? leastKnown() : null;
     }
 
-    /** Who may be let go between two requests, least known first; null where nobody is left that carries nothing. */
+    /**
+     * Who may be let go between two requests, least known first; null where nobody is left that
+     * carries nothing.
+     */
     public Peer leastKnown() {
         for (Standing standing : GIVING_WAY) {
             Peer first = chain(standing).first();
@@ -115,16 +122,18 @@
     }
 
     /**
-     * It has had an answer, on behalf of a customer (null where there are none). Who has to give way as that customer
-     * has too many; null where nobody has to.
+     * It has had an answer, on behalf of a customer (null where there are none). Who has to give
+     * way as that customer has too many; null where nobody has to.
      */
     public Peer served(Peer peer, Object customer, long now) {
         if (peer.chain == null) {
             return null;
         }
         peer.servedAt = now;
-        Share share = customer == null || limits.perCustomer() == 0 ? null
-                : customers.computeIfAbsent(customer, Share::new);
+        Share share =
+                customer == null || limits.perCustomer() == 0
+                        ? null
+                        : customers.computeIfAbsent(customer, Share::new);
         if (peer.customer != share) {
             leaveCustomer(peer);
             peer.customer = share;
@@ -170,7 +179,10 @@
         inside--;
     }
 
-    /** One whose time is out, for {@link #whyDue}; null where none is. It is told again until it moves or leaves. */
+    /**
+     * One whose time is out, for {@link #whyDue}; null where none is. It is told again until it
+     * moves or leaves.
+     */
     public Peer due(long now) {
         for (Chain chain : chains.values()) {
             Peer first = chain.first();
@@ -185,7 +197,9 @@
     /** Why one that is due is to end. */
     public Reason whyDue(Peer peer) {
         Standing standing = peer.standing();
-        return standing == Standing.STRANGER || standing == Standing.HALFWAY ? Reason.TOO_SLOW : Reason.IDLE_TOO_LONG;
+        return standing == Standing.STRANGER || standing == Standing.HALFWAY
+                ? Reason.TOO_SLOW
+                : Reason.IDLE_TOO_LONG;
     }
 
     private Span patience(Standing standing) {
@@ -194,8 +208,10 @@
             case STRANGER -> limits.startupTime();
             case HALFWAY -> limits.messageTime();
             case GREETED -> limits.greetedTime();
-            case SERVED -> inside > limits.crowdedPart() * limits.connections()
-                    ? limits.crowdedTime() : limits.servedTime();
+            case SERVED ->
+                    inside > limits.crowdedPart() * limits.connections()
+                            ? limits.crowdedTime()
+                            : limits.servedTime();
             case BUSY -> Span.ZERO;
         };
     }
--- a/router/src/main/java/ironwind/idle/Line.java
+++ b/router/src/main/java/ironwind/idle/Line.java
@@ -1,6 +1,9 @@
 package ironwind.idle;
 
-/** Connections in the order in which they came to it, linked through their places: every step costs the same. */
+/**
+ * Connections in the order in which they came to it, linked through their places: every step costs
+ * the same.
+ */
 class Line {
     private Place first;
     private Place last;
--- a/router/src/main/java/ironwind/idle/Reason.java
+++ b/router/src/main/java/ironwind/idle/Reason.java
@@ -1,6 +1,9 @@
 package ironwind.idle;
 
-/** Why a connection is ended by us, or not let in. The counters {@code idle_*} and the log bear these names. */
+/**
+ * Why a connection is ended by us, or not let in. The counters {@code idle_*} and the log bear
+ * these names.
+ */
 public enum Reason {
     /** Room ended, and of all that carry nothing it was the least known. */
     GAVE_WAY("53300", "the router is full of connections"),
@@ -23,6 +26,7 @@
 
     /** SQLSTATE of the error that tells of it, where it can still be told. */
     public final String code;
+
     public final String words;
 
     Reason(String code, String words) {
--- a/router/src/main/java/ironwind/idle/Standing.java
+++ b/router/src/main/java/ironwind/idle/Standing.java
@@ -1,6 +1,8 @@
 package ironwind.idle;
 
-/** How well a connection is known, from least to best: the order in which they give way to others. */
+/**
+ * How well a connection is known, from least to best: the order in which they give way to others.
+ */
 public enum Standing {
     /** Told that it ends; only its farewell is on the way. */
     PARTING,
@@ -10,7 +12,10 @@
     GREETED,
     /** It has had an answer. */
     SERVED,
-    /** A message has begun on it, and no answer is owed: it never gives way, but the message may take too long. */
+    /**
+     * A message has begun on it, and no answer is owed: it never gives way, but the message may
+     * take too long.
+     */
     HALFWAY,
     /** An answer is owed: it never gives way, and its RPC's deadline is its time. */
     BUSY
--- a/router/src/main/java/ironwind/idle/SteadyTime.java
+++ b/router/src/main/java/ironwind/idle/SteadyTime.java
@@ -3,9 +3,10 @@
 import ironwind.model.Span;
 
 /**
- * The time by which connections are judged, in microseconds: it never goes back, and it passes only while the router
- * runs. A step of the clock or a pause of the process (a stopped machine, a long collection) would otherwise make all
- * connections look as if they had been silent for as long, though what they said waits to be read.
+ * The time by which connections are judged, in microseconds: it never goes back, and it passes only
+ * while the router runs. A step of the clock or a pause of the process (a stopped machine, a long
+ * collection) would otherwise make all connections look as if they had been silent for as long,
+ * though what they said waits to be read.
  */
 public final class SteadyTime {
     private final long mostUs;
@@ -19,7 +20,10 @@
         this.mostUs = most.us();
     }
 
-    /** Takes a reading of a clock, in microseconds from anywhere, and tells the time since the first. */
+    /**
+     * Takes a reading of a clock, in microseconds from anywhere, and tells the time since the
+     * first.
+     */
     public long at(long readingUs) {
         if (started) {
             long passed = Math.max(0, readingUs - lastRead);
--- a/router/src/main/java/ironwind/idle/Turns.java
+++ b/router/src/main/java/ironwind/idle/Turns.java
@@ -3,10 +3,11 @@
 import ironwind.model.Span;
 
 /**
- * Who is read when many speak at once. Those that were answered lately are read as they come. The others are a crowd:
- * they are read for one turn's time, then wait in the order in which they came, and those who are active are looked
- * at between two turns. While many RPCs are open the crowd waits. What has waited for so long that it can hardly be
- * served in its time is read to be pushed back, as is what finds no memory: an answer takes none that is kept.
+ * Who is read when many speak at once. Those that were answered lately are read as they come. The
+ * others are a crowd: they are read for one turn's time, then wait in the order in which they came,
+ * and those who are active are looked at between two turns. While many RPCs are open the crowd
+ * waits. What has waited for so long that it can hardly be served in its time is read to be pushed
+ * back, as is what finds no memory: an answer takes none that is kept.
  */
 public final class Turns {
     private final Limits limits;
@@ -27,12 +28,16 @@
         turnEnds = now + limits.turnTime().us();
     }
 
-    /** Whether one that has something to say is read at once; else it waits, and is told by {@link #next}. */
+    /**
+     * Whether one that has something to say is read at once; else it waits, and is told by {@link
+     * #next}.
+     */
     public boolean atOnce(Peer peer, long now, int openRpcs) {
         if (waits(peer)) {
             return false;
         }
-        // What has begun ends: a message of which a part is held, an answer that a second command came behind.
+        // What has begun ends: a message of which a part is held, an answer that a second command
+        // came behind.
         boolean begun = peer.standing() == Standing.BUSY || peer.standing() == Standing.HALFWAY;
         if (now >= turnEnds + limits.turnTime().us()) {
             begin(now);
@@ -52,7 +57,10 @@
         return now - peer.servedAt < limits.activeTime().us();
     }
 
-    /** The next to be read in this turn; null where the turn is over or none may be. Skips those that have left. */
+    /**
+     * The next to be read in this turn; null where the turn is over or none may be. Skips those
+     * that have left.
+     */
     public Peer next(long now, int openRpcs) {
         while (anyWaits() && line.first().standing() == null) {
             pop();
@@ -73,7 +81,9 @@
         return peer;
     }
 
-    /** Whether one would be read in a new turn: else there is nothing to do until an RPC has ended. */
+    /**
+     * Whether one would be read in a new turn: else there is nothing to do until an RPC has ended.
+     */
     public boolean hasTurn(long now, int openRpcs) {
         return anyWaits() && (hasRoom(openRpcs) || late(now));
     }
@@ -95,7 +105,9 @@
         return peer.waitsSince == 0 ? Span.ZERO : new Span(Math.max(0, now - peer.waitsSince));
     }
 
-    /** Whether an RPC that was read after such a wait, and of so many bytes, is to be pushed back. */
+    /**
+     * Whether an RPC that was read after such a wait, and of so many bytes, is to be pushed back.
+     */
     public boolean pushesBack(Span waited, long bytes) {
         return waited.longerThan(limits.crowdTime()) || !budget.hasRoomForNew(bytes);
     }
--- a/router/src/main/java/ironwind/model/Customer.java
+++ b/router/src/main/java/ironwind/model/Customer.java
@@ -1,5 +1,4 @@
 package ironwind.model;
 
 /** A customer's agreed rate over all routers together; zero where none is agreed. */
-public record Customer(int index, double quotaPerSecond) {
-}
+public record Customer(int index, double quotaPerSecond) {}
--- a/router/src/main/java/ironwind/model/Inbound.java
+++ b/router/src/main/java/ironwind/model/Inbound.java
@@ -19,8 +19,18 @@
     /** Whether a call-out whose connection took time to come up may still be written to it. */
     boolean stillPasses(Moment now, CallOut callOut);
 
-    /** A call-out has ended. {@code closed}: the RPC's final answer has gone out with this outcome or before. */
-    void ended(Moment now, CallOut callOut, Outcome outcome, boolean closed, Role role, Moment position, Span took);
+    /**
+     * A call-out has ended. {@code closed}: the RPC's final answer has gone out with this outcome
+     * or before.
+     */
+    void ended(
+            Moment now,
+            CallOut callOut,
+            Outcome outcome,
+            boolean closed,
+            Role role,
+            Moment position,
+            Span took);
 
     /** A probe has ended; role and position as the host's report had them, where it had any. */
     void probed(Moment now, Host host, boolean answered, Role role, Moment position);
--- a/router/src/main/java/ironwind/model/Method.java
+++ b/router/src/main/java/ironwind/model/Method.java
@@ -11,5 +11,4 @@
         double utility,
         double lateUtility,
         boolean repeatsAnywhere,
-        Span repeatWindow) {
-}
+        Span repeatWindow) {}
--- a/router/src/main/java/ironwind/model/Outcome.java
+++ b/router/src/main/java/ironwind/model/Outcome.java
@@ -14,6 +14,7 @@
 
     /** Proves that the RPC never ran there. */
     public final boolean provesUnrun;
+
     /** The host itself answered. */
     public final boolean answered;
 
--- a/router/src/main/java/ironwind/model/Role.java
+++ b/router/src/main/java/ironwind/model/Role.java
@@ -1,4 +1,8 @@
 package ironwind.model;
 
 /** A host's word on its own role. */
-public enum Role { UNTOLD, PRIMARY, REPLICA }
+public enum Role {
+    UNTOLD,
+    PRIMARY,
+    REPLICA
+}
--- a/router/src/main/java/ironwind/net/ClientConnection.java
+++ b/router/src/main/java/ironwind/net/ClientConnection.java
@@ -16,30 +16,42 @@
 import java.util.function.Function;
 
 /**
- * One client's connection: its commands are taken as they come and answered in their order. While it says nothing it
- * holds no buffer, no list and no timer.
+ * One client's connection: its commands are taken as they come and answered in their order. While
+ * it says nothing it holds no buffer, no list and no timer.
  */
 final class ClientConnection extends Peer implements LoopSocket.Owner {
-    /** Commands of a client that are read ahead of the answer to the first: each may hold a value in memory. */
+    /**
+     * Commands of a client that are read ahead of the answer to the first: each may hold a value in
+     * memory.
+     */
     private static final int MOST_AHEAD = 16;
 
     private final LoopSocket socket;
     private final Clients clients;
+
     /** What has come of a message that is not whole; null where none has begun. */
     private Frames frames;
+
     /** Bytes lent for it. */
     private int lent;
+
     private Exchange first;
     private Exchange last;
     private int ahead;
+
     /** How long it may have waited to be let in, and its first command with it. */
     private Span waited;
+
     private boolean started;
     private boolean served;
     private boolean skipping;
     private boolean proceeding;
-    /** How the connection is to end once all that it brought is answered; null while more may come. */
+
+    /**
+     * How the connection is to end once all that it brought is answered; null while more may come.
+     */
     private Ending closing;
+
     private boolean parting;
     private boolean closed;
 
@@ -95,7 +107,10 @@
         clients.heard(this);
     }
 
-    /** Takes what has come, but no more while the client is far ahead of its answers or does not read them. */
+    /**
+     * Takes what has come, but no more while the client is far ahead of its answers or does not
+     * read them.
+     */
     private void proceed() {
         if (proceeding) {
             return;
@@ -119,7 +134,9 @@
     }
 
     private Frame next() {
-        return frames == null || closed || closing == Ending.CLIENT_MALFORMED || hasEnough() ? null : frames.next();
+        return frames == null || closed || closing == Ending.CLIENT_MALFORMED || hasEnough()
+                ? null
+                : frames.next();
     }
 
     private boolean hasEnough() {
@@ -133,7 +150,8 @@
             frames = null;
         }
         if (size != lent) {
-            // Where whole commands wait behind unanswered ones they were taken, and are not to be lost.
+            // Where whole commands wait behind unanswered ones they were taken, and are not to be
+            // lost.
             if (!clients.lend(size - lent, hasEnough())) {
                 throw new PgFault(Reason.NO_MEMORY.code, Reason.NO_MEMORY.words);
             }
@@ -153,7 +171,9 @@
         } else if (message instanceof ClientMessage.Extended) {
             if (!skipping) {
                 skipping = true;
-                refuse(new PgFault(PgFault.UNSUPPORTED, "only simple queries are spoken here"), Encoder::error);
+                refuse(
+                        new PgFault(PgFault.UNSUPPORTED, "only simple queries are spoken here"),
+                        Encoder::error);
             }
         } else if (message instanceof ClientMessage.Sync) {
             skipping = false;
@@ -278,13 +298,24 @@
         }
         if (first == null && closing == Ending.CLIENT_MALFORMED) {
             parting = true;
-        } else if (first == null && (frames == null || !started) && closing == Ending.CLIENT_DISMISSED) {
+        } else if (first == null
+                && (frames == null || !started)
+                && closing == Ending.CLIENT_DISMISSED) {
             closed(closing);
             return;
         }
-        // One that is not read from, as it is owed much, does not keep us waiting for its message: we keep it waiting.
-        Standing now = parting ? Standing.PARTING : first != null || hasEnough() ? Standing.BUSY : !started ? Standing.STRANGER
-                : frames != null ? Standing.HALFWAY : served ? Standing.SERVED : Standing.GREETED;
+        // One that is not read from, as it is owed much, does not keep us waiting for its message:
+        // we keep it waiting.
+        Standing now =
+                parting
+                        ? Standing.PARTING
+                        : first != null || hasEnough()
+                                ? Standing.BUSY
+                                : !started
+                                        ? Standing.STRANGER
+                                        : frames != null
+                                                ? Standing.HALFWAY
+                                                : served ? Standing.SERVED : Standing.GREETED;
         if (anew || now != standing()) {
             clients.stands(this, now);
         }
@@ -298,8 +329,8 @@
     }
 
     /**
-     * Ends a connection that is to give way, but not one that has just spoken: what its client has written is read
-     * first, and an RPC that was taken is not lost. Tells whether it ended.
+     * Ends a connection that is to give way, but not one that has just spoken: what its client has
+     * written is read first, and an RPC that was taken is not lost. Tells whether it ended.
      */
     boolean giveWay() {
         if (!closed && !parting) {
--- a/router/src/main/java/ironwind/net/Clients.java
+++ b/router/src/main/java/ironwind/net/Clients.java
@@ -32,25 +32,33 @@
 import jdk.net.ExtendedSocketOptions;
 
 /**
- * All connections of clients: what comes in on them becomes RPCs. Who is let in, kept and read is decided in
- * {@code ironwind.idle}; this carries it out.
+ * All connections of clients: what comes in on them becomes RPCs. Who is let in, kept and read is
+ * decided in {@code ironwind.idle}; this carries it out.
  */
 final class Clients implements Door.Host {
     /** In milliseconds, as far as times can be reckoned with. */
     private static final long LONGEST_MS = Long.MAX_VALUE / 1_000_000;
+
     /** Times that are out are looked for so often, with one timer for all. */
     private static final Span LOOK_EVERY = Span.ofMillis(100);
+
     /** A step of the steady time is no longer: what took longer was a pause of the process. */
     private static final Span LONGEST_STEP = Span.ofMillis(500);
+
     /** The loop looked at no socket for so long: told in the log. */
     private static final Span STOOD_STILL = Span.ofMillis(200);
+
     /** Ended one after another before others are served again. */
     private static final int ENDED_AT_ONCE = 256;
+
     /** Those that spoke in the very moment in which they were to give way. */
     private static final int MOST_WOKEN = 8;
+
     private static final int KEEPALIVE_PROBES = 3;
+
     /** The settings tell how long clients wait; what is this many times as long is no such time. */
     private static final double MOST_DEADLINES = 4;
+
     /** What an open RPC takes beside its statement, which is held as text and as facts. */
     private static final int OPEN_RPC_BYTES = 1_024;
 
@@ -58,8 +66,10 @@
     final LoopSocket.Buffers buffers;
     private final Timers timers;
     private final StartFacts facts;
+
     /** Let in at one time, the parting among them: what descriptors allow. */
     private final int most;
+
     private final LogicTask logic;
     private final Counters counters;
     private final Log log;
@@ -70,18 +80,29 @@
     private final Turns turns;
     private final SteadyTime steady = new SteadyTime(LONGEST_STEP);
     private final Show show;
+
     /** Empty queries that wait until the router is ready. */
     private final List<Exchange> askedWhetherReady = new ArrayList<>();
+
     private LoopLag lag;
     private Door door;
     private Rehearsal rehearsal;
     private boolean turnDue;
     private boolean ready;
     private boolean dismissing;
-    private Runnable whenGone = () -> { };
-
-    Clients(IoEventLoop loop, Timers timers, LoopSocket.Buffers buffers, StartFacts facts, Limits limits, Budget budget,
-            int most, LogicTask logic, Counters counters, Log log) {
+    private Runnable whenGone = () -> {};
+
+    Clients(
+            IoEventLoop loop,
+            Timers timers,
+            LoopSocket.Buffers buffers,
+            StartFacts facts,
+            Limits limits,
+            Budget budget,
+            int most,
+            LogicTask logic,
+            Counters counters,
+            Log log) {
         this.loop = loop;
         this.buffers = buffers;
         this.timers = timers;
@@ -100,8 +121,19 @@
 
     void listen() throws IOException {
         lag = new LoopLag(LOOK_EVERY, Clock.read());
-        door = Door.open(loop, facts.listen(), this, timers,
-                none -> log.warn("no_descriptor", "open", keeper.inside(), "cause", none.getMessage()));
+        door =
+                Door.open(
+                        loop,
+                        facts.listen(),
+                        this,
+                        timers,
+                        none ->
+                                log.warn(
+                                        "no_descriptor",
+                                        "open",
+                                        keeper.inside(),
+                                        "cause",
+                                        none.getMessage()));
         timers.every(LOOK_EVERY, this::look);
     }
 
@@ -109,7 +141,10 @@
         return door.port();
     }
 
-    /** Until the router is ready, and a little longer for what is on its way, it is its rehearsal's host, too. */
+    /**
+     * Until the router is ready, and a little longer for what is on its way, it is its rehearsal's
+     * host, too.
+     */
     void rehearse(Rehearsal rehearsed) {
         rehearsal = rehearsed;
         rehearsed.start(new Address(facts.listen().ip(), port()));
@@ -164,7 +199,14 @@
         keeper.enter(client, address, now());
         client.begin();
         if (refusal != null) {
-            log.warn("client_refused", "reason", refusal, "address", address, "open", keeper.inside());
+            log.warn(
+                    "client_refused",
+                    "reason",
+                    refusal,
+                    "address",
+                    address,
+                    "open",
+                    keeper.inside());
             client.turnAway(refusal, facts.deployment().longestBackoff());
         } else if (dismissing) {
             client.dismiss();
@@ -175,7 +217,8 @@
         int seconds = (int) Math.max(1, limits.keepalive().us() / 1_000_000);
         channel.setOption(StandardSocketOptions.SO_KEEPALIVE, true);
         channel.setOption(ExtendedSocketOptions.TCP_KEEPIDLE, seconds);
-        channel.setOption(ExtendedSocketOptions.TCP_KEEPINTERVAL, Math.max(1, seconds / KEEPALIVE_PROBES));
+        channel.setOption(
+                ExtendedSocketOptions.TCP_KEEPINTERVAL, Math.max(1, seconds / KEEPALIVE_PROBES));
         channel.setOption(ExtendedSocketOptions.TCP_KEEPCOUNT, KEEPALIVE_PROBES);
     }
 
@@ -241,7 +284,14 @@
         for (Peer due = debtors.due(now); due != null; due = debtors.due(now)) {
             Reason why = debtors.whyDue();
             keeper.count(why);
-            log.warn("client_owed", "reason", why, "bytes", due.owed(), "all", budget.lent(Use.OWED));
+            log.warn(
+                    "client_owed",
+                    "reason",
+                    why,
+                    "bytes",
+                    due.owed(),
+                    "all",
+                    budget.lent(Use.OWED));
             ((ClientConnection) due).cut();
         }
     }
@@ -377,7 +427,9 @@
         } else {
             byte[] table = show.answerTo(statement.text());
             if (table == null) {
-                throw new PgFault(PgFault.UNSUPPORTED, "a statement must say what it is in a comment before it");
+                throw new PgFault(
+                        PgFault.UNSUPPORTED,
+                        "a statement must say what it is in a comment before it");
             }
             client.add(null, 0).answer(table);
         }
@@ -391,22 +443,38 @@
         }
         Names names = facts.names();
         Method method = known(names.methods().get(statement.need("c")), "c");
-        Customer customer = names.customers().isEmpty() ? null
-                : known(names.customers().get(statement.need("t")), "t");
+        Customer customer =
+                names.customers().isEmpty()
+                        ? null
+                        : known(names.customers().get(statement.need("t")), "t");
         Span waits = Span.ofMillis(statement.needWhole("d", 1, LONGEST_MS));
         if (waits.longerThan(method.deadline().times(MOST_DEADLINES))) {
-            throw new PgFault(PgFault.SYNTAX, "the comment's d is far beyond its method's deadline: " + waits.us());
+            throw new PgFault(
+                    PgFault.SYNTAX,
+                    "the comment's d is far beyond its method's deadline: " + waits.us());
         }
         if (method.effect() == Effect.TOKENED) {
             statement.need("k");
         }
-        long after = statement.facts().containsKey("after") ? statement.needWhole("after", 0, LONGEST_MS) : 0;
+        long after =
+                statement.facts().containsKey("after")
+                        ? statement.needWhole("after", 0, LONGEST_MS)
+                        : 0;
         int bytes = OPEN_RPC_BYTES + 2 * statement.text().length();
         Span waited = turns.waited(client, now());
         Span lay = waited.longer(client.lay(lag.at(Clock.read())));
-        LogicTask.Asked asked = new LogicTask.Asked(statement.need("id"), method, customer,
-                (int) statement.needWhole("cluster", 0, Integer.MAX_VALUE), statement.key(), waits, after,
-                "1".equals(statement.facts().get("r")), lay, turns.pushesBack(waited, bytes));
+        LogicTask.Asked asked =
+                new LogicTask.Asked(
+                        statement.need("id"),
+                        method,
+                        customer,
+                        (int) statement.needWhole("cluster", 0, Integer.MAX_VALUE),
+                        statement.key(),
+                        waits,
+                        after,
+                        "1".equals(statement.facts().get("r")),
+                        lay,
+                        turns.pushesBack(waited, bytes));
         logic.check(asked);
         budget.force(Use.OPEN, bytes);
         logic.arrived(client.add(statement, bytes), asked);
@@ -431,7 +499,10 @@
         }
     }
 
-    /** Some at a time, so that those who still ask are served meanwhile; the busy end with their last answer. */
+    /**
+     * Some at a time, so that those who still ask are served meanwhile; the busy end with their
+     * last answer.
+     */
     private void dismissSome() {
         Peer next = keeper.leastKnown();
         for (int i = 0; i < ENDED_AT_ONCE && next != null && keeper.inside() > 0; i++) {
--- a/router/src/main/java/ironwind/net/Clock.java
+++ b/router/src/main/java/ironwind/net/Clock.java
@@ -7,8 +7,7 @@
 final class Clock {
     private static final long MILLION = 1_000_000;
 
-    private Clock() {
-    }
+    private Clock() {}
 
     static Moment read() {
         Instant now = Instant.now();
--- a/router/src/main/java/ironwind/net/Counters.java
+++ b/router/src/main/java/ironwind/net/Counters.java
@@ -13,7 +13,18 @@
 
     /** What is counted beside the endings of connections and their uses. */
     public enum Count {
-        CLIENTS, RPCS, OK, PUSHED_BACK, ABORTED, LEFT, MALFORMED, CALL_OUTS, PROBES, HOST_CONNECTIONS, LISTS, FAULTS
+        CLIENTS,
+        RPCS,
+        OK,
+        PUSHED_BACK,
+        ABORTED,
+        LEFT,
+        MALFORMED,
+        CALL_OUTS,
+        PROBES,
+        HOST_CONNECTIONS,
+        LISTS,
+        FAULTS
     }
 
     void add(Count count) {
@@ -28,16 +39,20 @@
     public Map<String, Long> read() {
         Map<String, Long> all = new LinkedHashMap<>();
         for (Count count : Count.values()) {
-            all.put(count.name().toLowerCase(Locale.ROOT), counts.getOrDefault(count, new long[1])[0]);
+            all.put(
+                    count.name().toLowerCase(Locale.ROOT),
+                    counts.getOrDefault(count, new long[1])[0]);
         }
-        endings.forEach((ending, count) ->
-                all.put("ended_" + ending.name().toLowerCase(Locale.ROOT), count[0]));
+        endings.forEach(
+                (ending, count) ->
+                        all.put("ended_" + ending.name().toLowerCase(Locale.ROOT), count[0]));
         return all;
     }
 
     @Override
     public String toString() {
-        return read().entrySet().stream().map(entry -> entry.getKey() + "=" + entry.getValue())
+        return read().entrySet().stream()
+                .map(entry -> entry.getKey() + "=" + entry.getValue())
                 .collect(Collectors.joining(" "));
     }
 }
