--- a/router/src/main/java/ironwind/net/Discovery.java
+++ b/router/src/main/java/ironwind/net/Discovery.java
@@ -27,10 +27,13 @@
 final class Discovery {
     private static final String PATH = "/registry/instances";
     private static final String PRIMARY = "primary";
+
     /** How long a watch waits for news; PROTOCOL allows up to a minute. */
     private static final long WAIT_MS = 5_000;
+
     /** PROTOCOL: what a call that may wait has to tell counts as told so long after the wait. */
     private static final long GRACE_MS = 2_000;
+
     /** PROTOCOL: a watch goes on if the next call comes within 200 ms. */
     private static final long RETRY_MS = 100;
 
@@ -45,9 +48,15 @@
     private long version = -1;
     private boolean stopped;
     private boolean failing;
-    private Runnable whenHeard = () -> { };
+    private Runnable whenHeard = () -> {};
 
-    Discovery(Vertx vertx, StartFacts facts, LogicTask logic, HostConnections hosts, Counters counters, Log log) {
+    Discovery(
+            Vertx vertx,
+            StartFacts facts,
+            LogicTask logic,
+            HostConnections hosts,
+            Counters counters,
+            Log log) {
         this.vertx = vertx;
         this.address = facts.discovery();
         this.names = facts.names();
@@ -59,10 +68,14 @@
     }
 
     private HttpClientAgent newClient() {
-        return vertx.createHttpClient(new HttpClientOptions(), new PoolOptions().setHttp1MaxSize(1));
+        return vertx.createHttpClient(
+                new HttpClientOptions(), new PoolOptions().setHttp1MaxSize(1));
     }
 
-    /** Tells what the router knew at its start, then asks for more; runs the action on the first answer. */
+    /**
+     * Tells what the router knew at its start, then asks for more; runs the action on the first
+     * answer.
+     */
     void start(JsonObject known, Runnable heard) {
         tell(known);
         version = -1;
@@ -70,7 +83,10 @@
         ask();
     }
 
-    /** Leaves the present watch, and what it may still say, and asks for a full list at the new address. */
+    /**
+     * Leaves the present watch, and what it may still say, and asks for a full list at the new
+     * address.
+     */
     void moveTo(Address next) {
         if (!stopped && !next.equals(address)) {
             HttpClientAgent left = client;
@@ -90,9 +106,16 @@
         boolean watch = version >= 0;
         String uri = watch ? PATH + "?after=" + version + "&wait_ms=" + WAIT_MS : PATH;
         long patience = GRACE_MS + (watch ? WAIT_MS : 0);
-        // A call that is silent for so long is cut, and its connection with it: the next one opens another.
-        client.request(new RequestOptions().setMethod(HttpMethod.GET).setHost(address.ip()).setPort(address.port())
-                        .setURI(uri).setConnectTimeout(GRACE_MS).setIdleTimeout(patience))
+        // A call that is silent for so long is cut, and its connection with it: the next one opens
+        // another.
+        client.request(
+                        new RequestOptions()
+                                .setMethod(HttpMethod.GET)
+                                .setHost(address.ip())
+                                .setPort(address.port())
+                                .setURI(uri)
+                                .setConnectTimeout(GRACE_MS)
+                                .setIdleTimeout(patience))
                 .compose(request -> request.send().expecting(HttpResponseExpectation.SC_OK))
                 .compose(HttpClientResponse::body)
                 .onSuccess(body -> answered(asked, body))
@@ -114,7 +137,7 @@
             failing = false;
         }
         whenHeard.run();
-        whenHeard = () -> { };
+        whenHeard = () -> {};
         ask();
     }
 
@@ -126,11 +149,13 @@
             log.warn("discovery_failed", "cause", cause);
             failing = true;
         }
-        vertx.setTimer(RETRY_MS, timer -> {
-            if (asked == client) {
-                ask();
-            }
-        });
+        vertx.setTimer(
+                RETRY_MS,
+                timer -> {
+                    if (asked == client) {
+                        ask();
+                    }
+                });
     }
 
     /** Reads all of an answer before any of it counts. */
@@ -154,17 +179,24 @@
 
     private RosterEntry entry(JsonObject server) {
         String state = server.getString("state");
-        Listing listing = switch (state) {
-            case "Ready" -> Listing.READY;
-            case "Terminating" -> Listing.DRAINING;
-            case "Gone" -> Listing.GONE;
-            default -> throw new IllegalArgumentException("unknown state " + state);
-        };
+        Listing listing =
+                switch (state) {
+                    case "Ready" -> Listing.READY;
+                    case "Terminating" -> Listing.DRAINING;
+                    case "Gone" -> Listing.GONE;
+                    default -> throw new IllegalArgumentException("unknown state " + state);
+                };
         long startedMs = server.getLong("started_ms", 0L);
         Moment started = startedMs == 0 ? Moment.NEVER : Moment.ofMillis(startedMs);
-        return new RosterEntry(server.getString("id"), index(names.zones(), server.getString("zone")),
-                index(names.kinds(), server.getString("kind")), server.getInteger("cell", 0), listing,
-                server.getDouble("weight", 1.0), started, PRIMARY.equals(server.getString("role")));
+        return new RosterEntry(
+                server.getString("id"),
+                index(names.zones(), server.getString("zone")),
+                index(names.kinds(), server.getString("kind")),
+                server.getInteger("cell", 0),
+                listing,
+                server.getDouble("weight", 1.0),
+                started,
+                PRIMARY.equals(server.getString("role")));
     }
 
     /** Names that the settings don't have share the last number. */
--- a/router/src/main/java/ironwind/net/Door.java
+++ b/router/src/main/java/ironwind/net/Door.java
@@ -15,20 +15,25 @@
 import java.util.function.Consumer;
 
 /**
- * The listening socket, on the loop that serves: nothing is let in while there is no room for it, or faster than is
- * allowed; it waits in the system's queue.
+ * The listening socket, on the loop that serves: nothing is let in while there is no room for it,
+ * or faster than is allowed; it waits in the system's queue.
  */
 final class Door extends NioSelectableChannelIoHandle<ServerSocketChannel> {
     /** The system may allow fewer. */
     private static final int QUEUE = 16_384;
+
     /** Let in at a time, so that those inside are served between. */
     private static final int AT_ONCE = 32;
+
     /** After the system had no descriptor to give. */
     private static final Span REST = Span.ofMillis(100);
 
     /** Says whether one more may come in, and takes it. */
     interface Host {
-        /** How long the door stays shut; zero where one may come in now, null until {@link Door#look} is called. */
+        /**
+         * How long the door stays shut; zero where one may come in now, null until {@link
+         * Door#look} is called.
+         */
         Span shutFor();
 
         void connected(SocketChannel socket);
@@ -42,7 +47,11 @@
     private boolean shut;
     private boolean timed;
 
-    private Door(ServerSocketChannel channel, Host host, Timers timers, Consumer<IOException> noDescriptor) {
+    private Door(
+            ServerSocketChannel channel,
+            Host host,
+            Timers timers,
+            Consumer<IOException> noDescriptor) {
         super(channel);
         this.channel = channel;
         this.host = host;
@@ -51,7 +60,12 @@
     }
 
     /** Listens, on the loop only. An {@link IOException} tells that the address can't be had. */
-    static Door open(IoEventLoop loop, Address at, Host host, Timers timers, Consumer<IOException> noDescriptor)
+    static Door open(
+            IoEventLoop loop,
+            Address at,
+            Host host,
+            Timers timers,
+            Consumer<IOException> noDescriptor)
             throws IOException {
         ServerSocketChannel channel = ServerSocketChannel.open();
         try {
@@ -63,10 +77,12 @@
             throw taken;
         }
         Door door = new Door(channel, host, timers, noDescriptor);
-        loop.register(door).addListener(result -> {
-            door.registration = (IoRegistration) result.getNow();
-            door.apply();
-        });
+        loop.register(door)
+                .addListener(
+                        result -> {
+                            door.registration = (IoRegistration) result.getNow();
+                            door.apply();
+                        });
         return door;
     }
 
@@ -104,10 +120,12 @@
         apply();
         if (rest != null && !timed) {
             timed = true;
-            timers.after(rest, () -> {
-                timed = false;
-                look();
-            });
+            timers.after(
+                    rest,
+                    () -> {
+                        timed = false;
+                        look();
+                    });
         }
     }
 
--- a/router/src/main/java/ironwind/net/Ending.java
+++ b/router/src/main/java/ironwind/net/Ending.java
@@ -6,17 +6,34 @@
 /** Every way in which a connection, or one use of it, can end. */
 public enum Ending {
     // uses of a connection to a host that the host answered
-    SERVED, MISSED, FAILED, TURNED_AWAY,
+    SERVED,
+    MISSED,
+    FAILED,
+    TURNED_AWAY,
     // connections to a host that were to carry a request
-    REFUSED, NEVER_UP, NO_SOCKET, BROKE_UNWRITTEN, BROKE_WRITTEN, GARBLED,
+    REFUSED,
+    NEVER_UP,
+    NO_SOCKET,
+    BROKE_UNWRITTEN,
+    BROKE_WRITTEN,
+    GARBLED,
     // what the router gave up itself
-    TIMED_OUT, CALLED_OFF, LAPSED,
+    TIMED_OUT,
+    CALLED_OFF,
+    LAPSED,
     // connections that carried nothing then
-    IDLE_CLOSED, CLOSED_BY_HOST, SURPLUS,
+    IDLE_CLOSED,
+    CLOSED_BY_HOST,
+    SURPLUS,
     // connections of clients
-    CLIENT_LEFT, CLIENT_DISMISSED, CLIENT_MALFORMED;
+    CLIENT_LEFT,
+    CLIENT_DISMISSED,
+    CLIENT_MALFORMED;
 
-    /** What the use of a connection comes to for the decision module; null where no call-out can be on it. */
+    /**
+     * What the use of a connection comes to for the decision module; null where no call-out can be
+     * on it.
+     */
     public Outcome outcome() {
         return switch (this) {
             case SERVED -> Outcome.OK;
@@ -28,7 +45,13 @@
             case TIMED_OUT -> Outcome.EXPIRED;
             case CALLED_OFF -> Outcome.CANCELLED;
             case LAPSED -> Outcome.UNSENT;
-            case IDLE_CLOSED, CLOSED_BY_HOST, SURPLUS, CLIENT_LEFT, CLIENT_DISMISSED, CLIENT_MALFORMED -> null;
+            case IDLE_CLOSED,
+                    CLOSED_BY_HOST,
+                    SURPLUS,
+                    CLIENT_LEFT,
+                    CLIENT_DISMISSED,
+                    CLIENT_MALFORMED ->
+                    null;
         };
     }
 
--- a/router/src/main/java/ironwind/net/Exchange.java
+++ b/router/src/main/java/ironwind/net/Exchange.java
@@ -7,14 +7,19 @@
 final class Exchange {
     /** What was asked; null where no RPC came of it. */
     final Statement statement;
+
     private final Runnable whenAnswered;
     Rpc rpc;
+
     /** Runs out where an answer is owed and does not come. */
     Timers.Timer guard;
+
     /** The command that came after it on its connection. */
     Exchange next;
+
     /** Bytes lent for it until it is answered. */
     int lent;
+
     private boolean answered;
     private byte[][] answer;
 
--- a/router/src/main/java/ironwind/net/HostConnection.java
+++ b/router/src/main/java/ironwind/net/HostConnection.java
@@ -20,17 +20,24 @@
     private LoopSocket socket;
     private boolean up;
     private boolean closed;
+
     /** Whether the rest of a message is being waited for. */
     private boolean limited;
+
     /** Bytes lent for what has come of an answer, and for the rest of its message. */
     private int lent;
+
     private int needs;
+
     /** Of these, for the message that is not whole. */
     private int pendingLent;
+
     private Use use;
     private HostWord word = new HostWord();
+
     /** Whether a request was begun on it, and how much of that the system has not taken. */
     private boolean asked;
+
     private int unwritten;
     Moment idleSince = Moment.NEVER;
 
@@ -94,7 +101,10 @@
         pool.idle(this);
     }
 
-    /** Gives up a use, and the connection with it; its owner hears no more of it. Tells whether it may have run. */
+    /**
+     * Gives up a use, and the connection with it; its owner hears no more of it. Tells whether it
+     * may have run.
+     */
     boolean giveUp() {
         boolean mayHaveRun = wasWritten();
         use = null;
@@ -118,7 +128,8 @@
 
     private void received(byte[] bytes) {
         if (up && !wasWritten()) {
-            // More than an answer, or ahead of its request: nothing that comes here can be told apart any more.
+            // More than an answer, or ahead of its request: nothing that comes here can be told
+            // apart any more.
             pool.surplus(this, bytes.length);
             end(use == null ? Ending.SURPLUS : Ending.BROKE_UNWRITTEN);
             return;
@@ -137,17 +148,21 @@
             reserve();
             if (!closed && frames.midway() && !limited) {
                 limited = true;
-                pool.later(() -> {
-                    limited = false;
-                    stuck();
-                });
+                pool.later(
+                        () -> {
+                            limited = false;
+                            stuck();
+                        });
             }
         } catch (PgFault fault) {
             spoilt(fault);
         }
     }
 
-    /** Memory for a message is had before it is read on; what came whole in one piece is passed on or dropped. */
+    /**
+     * Memory for a message is had before it is read on; what came whole in one piece is passed on
+     * or dropped.
+     */
     private void reserve() {
         int more = closed || !frames.midway() ? 0 : frames.wants() - pendingLent;
         if (more > 0 && needs == 0) {
@@ -191,7 +206,10 @@
         end(wasWritten() ? Ending.GARBLED : Ending.BROKE_UNWRITTEN);
     }
 
-    /** Guards against an answer that has begun and never ends: its host is not silent, and all others wait. */
+    /**
+     * Guards against an answer that has begun and never ends: its host is not silent, and all
+     * others wait.
+     */
     private void stuck() {
         if (!closed && frames.midway()) {
             spoilt(new PgFault(PgFault.PROTOCOL, "a message stays without its end"));
--- a/router/src/main/java/ironwind/net/HostConnections.java
+++ b/router/src/main/java/ironwind/net/HostConnections.java
@@ -23,12 +23,17 @@
 
 /** All connections to hosts: one request at a time on each, a new one only where none is idle. */
 final class HostConnections {
-    /** Of the time after which a host closes an idle connection: a request that crosses the close would be lost. */
+    /**
+     * Of the time after which a host closes an idle connection: a request that crosses the close
+     * would be lost.
+     */
     private static final double IDLE_PART = 0.75;
 
     /** Of the router's memory, what one message of a host may take. */
     private static final double MESSAGE_PART = 1.0 / 64;
+
     private static final int MEGABYTE = 1 << 20;
+
     /** What a host sends behind an answer of its own accord has come by then. */
     private static final Span QUIET = Span.ofMillis(3);
 
@@ -39,22 +44,39 @@
     private final Span connectTime;
     private final Span idleTime;
     private final int most;
-    /** Bytes that a message of a host may have. Some have more than PROTOCOL allows a value, and are whole. */
+
+    /**
+     * Bytes that a message of a host may have. Some have more than PROTOCOL allows a value, and are
+     * whole.
+     */
     final int longestMessage;
+
     private final Counters counters;
     private final Log log;
     private final Map<String, Address> addresses = new HashMap<>();
     private final Map<String, Deque<HostConnection>> idle = new LinkedHashMap<>();
     private final Set<HostConnection> open = new HashSet<>();
+
     /** Sockets that are coming up or open: what descriptors are counted by. */
     private int sockets;
 
-    /** Those that read no further until there is memory for the rest of their answer, in the order of waiting. */
+    /**
+     * Those that read no further until there is memory for the rest of their answer, in the order
+     * of waiting.
+     */
     private final Deque<HostConnection> needMemory = new ArrayDeque<>();
+
     private final Budget budget;
 
-    HostConnections(IoEventLoop loop, Timers timers, LoopSocket.Buffers buffers, StartFacts facts, Budget budget, int most,
-            Counters counters, Log log) {
+    HostConnections(
+            IoEventLoop loop,
+            Timers timers,
+            LoopSocket.Buffers buffers,
+            StartFacts facts,
+            Budget budget,
+            int most,
+            Counters counters,
+            Log log) {
         this.loop = loop;
         this.timers = timers;
         this.buffers = buffers;
@@ -69,12 +91,14 @@
     }
 
     private void sweepLater() {
-        timers.after(idleTime.times(1 - IDLE_PART), () -> {
-            if (!stopped) {
-                closeStale();
-                sweepLater();
-            }
-        });
+        timers.after(
+                idleTime.times(1 - IDLE_PART),
+                () -> {
+                    if (!stopped) {
+                        closeStale();
+                        sweepLater();
+                    }
+                });
     }
 
     /** Where a host listens; what is open to an address it had before is closed. */
@@ -91,7 +115,10 @@
         idle.keySet().removeIf(hostIds);
     }
 
-    /** Finds a connection for a use; it may have to come up first. Null where there is no socket for it. */
+    /**
+     * Finds a connection for a use; it may have to come up first. Null where there is no socket for
+     * it.
+     */
     HostConnection open(String hostId, HostConnection.Use use) {
         HostConnection quiet = quiet(hostId);
         if (quiet != null) {
@@ -100,14 +127,30 @@
         }
         Address address = addresses.get(hostId);
         if (address == null || !roomForOne()) {
-            log.warn("no_socket", "host", hostId, "address", address, "sockets", sockets, "most", most);
+            log.warn(
+                    "no_socket",
+                    "host",
+                    hostId,
+                    "address",
+                    address,
+                    "sockets",
+                    sockets,
+                    "most",
+                    most);
             return null;
         }
         HostConnection connection = new HostConnection(hostId, this, use);
         try {
             connection.begin(LoopSocket.connect(loop, address, buffers, connection));
         } catch (IOException none) {
-            log.warn("no_descriptor", "host", hostId, "sockets", sockets, "cause", none.getMessage());
+            log.warn(
+                    "no_descriptor",
+                    "host",
+                    hostId,
+                    "sockets",
+                    sockets,
+                    "cause",
+                    none.getMessage());
             return null;
         }
         open.add(connection);
@@ -117,7 +160,10 @@
         return connection;
     }
 
-    /** One that has been idle long enough to show whether more came behind its last answer than belongs to it. */
+    /**
+     * One that has been idle long enough to show whether more came behind its last answer than
+     * belongs to it.
+     */
     private HostConnection quiet(String hostId) {
         Deque<HostConnection> free = idle.get(hostId);
         Moment before = Clock.read().minus(QUIET);
@@ -162,12 +208,22 @@
         sockets--;
     }
 
-    /** Memory for an answer that has begun; where there is none, the connection is told once there is. */
+    /**
+     * Memory for an answer that has begun; where there is none, the connection is told once there
+     * is.
+     */
     boolean lend(HostConnection connection, int bytes) {
         boolean lent = needMemory.isEmpty() && budget.lend(Use.MAKING, bytes);
         if (!lent) {
             needMemory.add(connection);
-            log.warn("answer_waits_for_memory", "host", connection.hostId, "bytes", bytes, "lent", budget.sum());
+            log.warn(
+                    "answer_waits_for_memory",
+                    "host",
+                    connection.hostId,
+                    "bytes",
+                    bytes,
+                    "lent",
+                    budget.sum());
         }
         return lent;
     }
@@ -214,7 +270,9 @@
         Moment before = Clock.read().minus(idleTime);
         List<HostConnection> stale = new ArrayList<>();
         for (Deque<HostConnection> free : idle.values()) {
-            free.stream().filter(connection -> connection.idleSince.before(before)).forEach(stale::add);
+            free.stream()
+                    .filter(connection -> connection.idleSince.before(before))
+                    .forEach(stale::add);
         }
         close(stale);
     }
--- a/router/src/main/java/ironwind/net/HostWord.java
+++ b/router/src/main/java/ironwind/net/HostWord.java
@@ -15,6 +15,7 @@
 final class HostWord {
     private static final int MILLIS = 3;
     private static final int SECONDS = 6;
+
     /** Before or after the point: a Unix time in milliseconds has 13 for some centuries to come. */
     private static final int MOST_DIGITS = 15;
 
@@ -57,7 +58,10 @@
         return failed != null ? failed : tag != null ? Ending.SERVED : Ending.GARBLED;
     }
 
-    /** Whether all that an answer needs has come: the rest is only whether the connection may be used again. */
+    /**
+     * Whether all that an answer needs has come: the rest is only whether the connection may be
+     * used again.
+     */
     boolean isWhole() {
         return failed != null || tag != null;
     }
@@ -82,20 +86,29 @@
     /** The role and position of a load report, which a probe's row holds. */
     Role reportedRole() {
         BigDecimal leads = number(reported("x1"));
-        return leads == null ? Role.UNTOLD : leads.compareTo(BigDecimal.ONE) >= 0 ? Role.PRIMARY : Role.REPLICA;
+        return leads == null
+                ? Role.UNTOLD
+                : leads.compareTo(BigDecimal.ONE) >= 0 ? Role.PRIMARY : Role.REPLICA;
     }
 
     Moment reportedPosition(Moment now) {
         return moment(reported("x0"), SECONDS, now);
     }
 
-    /** The decimals are read exactly: a position that came out too high would let a read see too little. */
+    /**
+     * The decimals are read exactly: a position that came out too high would let a read see too
+     * little.
+     */
     private static Moment moment(String text, int digitsToMicros, Moment now) {
         BigDecimal number = number(text);
         if (number == null || number.signum() <= 0) {
             return Moment.NEVER;
         }
-        Moment told = new Moment(number.movePointRight(digitsToMicros).setScale(0, RoundingMode.FLOOR).longValue());
+        Moment told =
+                new Moment(
+                        number.movePointRight(digitsToMicros)
+                                .setScale(0, RoundingMode.FLOOR)
+                                .longValue());
         // All machines read one clock: nothing can have been applied that is still to come.
         return told.after(now.plus(ROUNDED_UP)) ? Moment.NEVER : told;
     }
@@ -116,8 +129,10 @@
     private static BigDecimal number(String text) {
         try {
             BigDecimal number = text == null ? null : new BigDecimal(text);
-            boolean sane = number != null && number.precision() - number.scale() <= MOST_DIGITS
-                    && number.scale() <= MOST_DIGITS;
+            boolean sane =
+                    number != null
+                            && number.precision() - number.scale() <= MOST_DIGITS
+                            && number.scale() <= MOST_DIGITS;
             return sane ? number : null;
         } catch (NumberFormatException e) {
             return null;
--- a/router/src/main/java/ironwind/net/Log.java
+++ b/router/src/main/java/ironwind/net/Log.java
@@ -14,8 +14,8 @@
 import java.util.logging.Logger;
 
 /**
- * One line an event: time, level, event, then key=value pairs, or what else a {@link Sink} makes of it. A warning that comes often is told once a second,
- * with how many of it were left out since.
+ * One line an event: time, level, event, then key=value pairs, or what else a {@link Sink} makes of
+ * it. A warning that comes often is told once a second, with how many of it were left out since.
  */
 public final class Log {
     private static final Duration WARN_EVERY = Duration.ofSeconds(1);
@@ -31,7 +31,11 @@
     }
 
     /** How much a line matters. */
-    public enum Level { INFO, WARN, ERROR }
+    public enum Level {
+        INFO,
+        WARN,
+        ERROR
+    }
 
     /** Where lines go, in which form. */
     public interface Sink {
@@ -58,28 +62,34 @@
     }
 
     /**
-     * Takes over what libraries log, by way of java.util.logging: its own way of writing a line opens files, and so
-     * fails just where descriptors have run out, and takes the thread along.
+     * Takes over what libraries log, by way of java.util.logging: its own way of writing a line
+     * opens files, and so fails just where descriptors have run out, and takes the thread along.
      */
     public Log withLibraries() {
         LogManager.getLogManager().reset();
-        Logger.getLogger("").addHandler(new Handler() {
-            @Override
-            public void publish(LogRecord entry) {
-                if (isLoggable(entry)) {
-                    warn("library", "logger", entry.getLoggerName(), "what", entry.getMessage(),
-                            "cause", entry.getThrown());
-                }
-            }
-
-            @Override
-            public void flush() {
-            }
-
-            @Override
-            public void close() {
-            }
-        });
+        Logger.getLogger("")
+                .addHandler(
+                        new Handler() {
+                            @Override
+                            public void publish(LogRecord entry) {
+                                if (isLoggable(entry)) {
+                                    warn(
+                                            "library",
+                                            "logger",
+                                            entry.getLoggerName(),
+                                            "what",
+                                            entry.getMessage(),
+                                            "cause",
+                                            entry.getThrown());
+                                }
+                            }
+
+                            @Override
+                            public void flush() {}
+
+                            @Override
+                            public void close() {}
+                        });
         return this;
     }
 
@@ -118,17 +128,34 @@
     }
 
     private static String plain(InstantSource clock, Level level, String event, Object... pairs) {
-        StringBuilder line = new StringBuilder(96).append(clock.instant().truncatedTo(ChronoUnit.MILLIS)).append(' ')
-                .append(level).append(' ').append(event);
+        StringBuilder line =
+                new StringBuilder(96)
+                        .append(clock.instant().truncatedTo(ChronoUnit.MILLIS))
+                        .append(' ')
+                        .append(level)
+                        .append(' ')
+                        .append(event);
         for (int i = 0; i + 1 < pairs.length; i += 2) {
-            line.append(' ').append(pairs[i]).append('=').append(quoted(String.valueOf(pairs[i + 1])));
+            line.append(' ')
+                    .append(pairs[i])
+                    .append('=')
+                    .append(quoted(String.valueOf(pairs[i + 1])));
         }
         return line.toString();
     }
 
     private static String quoted(String value) {
-        boolean plain = !value.isEmpty()
-                && value.chars().allMatch(c -> c > ' ' && c != '"' && c != '=' && c != '\\' && c < 0x7f);
-        return plain ? value : '"' + value.replace("\\", "\\\\").replace("\"", "\\\"").replace("\n", "\\n") + '"';
+        boolean plain =
+                !value.isEmpty()
+                        && value.chars()
+                                .allMatch(
+                                        c ->
+                                                c > ' ' && c != '"' && c != '=' && c != '\\'
+                                                        && c < 0x7f);
+        return plain
+                ? value
+                : '"'
+                        + value.replace("\\", "\\\\").replace("\"", "\\\"").replace("\n", "\\n")
+                        + '"';
     }
 }
--- a/router/src/main/java/ironwind/net/LogicTask.java
+++ b/router/src/main/java/ironwind/net/LogicTask.java
@@ -28,13 +28,14 @@
 import java.util.function.Function;
 
 /**
- * The sole owner of the decision module. What happens on sockets is put into a queue; a batch takes all that
- * waits there at one time, settles once, and carries out what the module asks for.
+ * The sole owner of the decision module. What happens on sockets is put into a queue; a batch takes
+ * all that waits there at one time, settles once, and carries out what the module asks for.
  */
 final class LogicTask implements Outbound {
-    private static final Failure PUSHED_BACK = new Failure(Failure.TOO_MANY, "pushed back: try again later", null);
-    private static final Failure ABORTED = new Failure(Failure.OUTCOME_UNKNOWN, "aborted: it may or may not have run",
-            null);
+    private static final Failure PUSHED_BACK =
+            new Failure(Failure.TOO_MANY, "pushed back: try again later", null);
+    private static final Failure ABORTED =
+            new Failure(Failure.OUTCOME_UNKNOWN, "aborted: it may or may not have run", null);
 
     private static final Moment FAR = new Moment(Long.MAX_VALUE / 4);
 
@@ -50,14 +51,17 @@
     private final AtomicBoolean batchDue = new AtomicBoolean();
     private final Map<Rpc, Exchange> exchanges = new HashMap<>();
     private final Map<CallOut, Sending> sendings = new HashMap<>();
+
     /** Of RPCs without their final answer. */
     private final Map<String, Exchange> openIds = new HashMap<>();
+
     private Moment lastAnswer = FAR;
     private Moment now = Moment.NEVER;
 
     /**
-     * No RPC is held for longer than up to this moment, those included that were taken before and whose clients would
-     * wait longer: the process is killed soon after, and what is unanswered then is lost.
+     * No RPC is held for longer than up to this moment, those included that were taken before and
+     * whose clients would wait longer: the process is killed soon after, and what is unanswered
+     * then is lost.
      */
     void endBy(Span fromNow) {
         lastAnswer = Clock.read().plus(fromNow);
@@ -67,7 +71,11 @@
                 watch(exchange);
             }
         }
-        timers.after(fromNow, () -> List.copyOf(sendings.values()).forEach(sending -> sending.giveUp(Ending.TIMED_OUT)));
+        timers.after(
+                fromNow,
+                () ->
+                        List.copyOf(sendings.values())
+                                .forEach(sending -> sending.giveUp(Ending.TIMED_OUT)));
     }
 
     /**
@@ -76,16 +84,28 @@
      * @param waited how long it had lain in its socket before it was read
      * @param roomless there is no memory or time left to hold it
      */
-    record Asked(String id, Method method, Customer customer, int group, String session, Span waits, long after,
-            boolean repeat, Span waited, boolean roomless) {
-    }
+    record Asked(
+            String id,
+            Method method,
+            Customer customer,
+            int group,
+            String session,
+            Span waits,
+            long after,
+            boolean repeat,
+            Span waited,
+            boolean roomless) {}
 
     /** What happened, and the exchange it concerns, if one. */
-    private record Event(Exchange concerned, Consumer<Moment> act) {
-    }
-
-    LogicTask(Timers timers, StartFacts facts, Function<Outbound, Inbound> module,
-            HostConnections hosts, Counters counters, Log log) {
+    private record Event(Exchange concerned, Consumer<Moment> act) {}
+
+    LogicTask(
+            Timers timers,
+            StartFacts facts,
+            Function<Outbound, Inbound> module,
+            HostConnections hosts,
+            Counters counters,
+            Log log) {
         this.timers = timers;
         this.deployment = facts.deployment();
         this.logic = module.apply(this);
@@ -132,13 +152,26 @@
         return openIds.size();
     }
 
-    /** Says which RPCs end without an answer, by what hosts they may have reached: for the last moment of a process. */
+    /**
+     * Says which RPCs end without an answer, by what hosts they may have reached: for the last
+     * moment of a process.
+     */
     void tellUnanswered() {
         for (Exchange exchange : openIds.values()) {
-            List<String> hosts = exchange.rpc == null ? List.of()
-                    : exchange.rpc.callOuts.stream().map(callOut -> callOut.host.id).toList();
-            log.error("unanswered", "id", exchange.statement.facts().get("id"), "method",
-                    exchange.statement.facts().get("c"), "hosts", hosts);
+            List<String> hosts =
+                    exchange.rpc == null
+                            ? List.of()
+                            : exchange.rpc.callOuts.stream()
+                                    .map(callOut -> callOut.host.id)
+                                    .toList();
+            log.error(
+                    "unanswered",
+                    "id",
+                    exchange.statement.facts().get("id"),
+                    "method",
+                    exchange.statement.facts().get("c"),
+                    "hosts",
+                    hosts);
         }
     }
 
@@ -150,11 +183,13 @@
     // ---- what comes in
 
     void listed(boolean complete, List<RosterEntry> entries, Runnable before) {
-        put(null, time -> {
-            before.run();
-            logic.listed(time, complete, entries);
-            hosts.letGo(id -> logic.host(id) == null);
-        });
+        put(
+                null,
+                time -> {
+                    before.run();
+                    logic.listed(time, complete, entries);
+                    hosts.letGo(id -> logic.host(id) == null);
+                });
     }
 
     /** What cannot be taken: an id that is open already, or a group that no list has named. */
@@ -170,16 +205,26 @@
     void arrived(Exchange exchange, Asked asked) {
         counters.add(Count.RPCS);
         openIds.put(asked.id, exchange);
-        put(exchange, time -> {
-            Rpc rpc = new Rpc(asked.id, asked.method, asked.customer, logic.group(asked.group), asked.session, time,
-                    time.plus(asked.waits).minus(asked.waited).earlier(lastAnswer),
-                    asked.after <= 0 ? Moment.NEVER : Moment.ofMillis(asked.after), asked.repeat);
-            rpc.roomless = asked.roomless;
-            exchange.rpc = rpc;
-            exchanges.put(rpc, exchange);
-            watch(exchange);
-            logic.arrived(time, rpc);
-        });
+        put(
+                exchange,
+                time -> {
+                    Rpc rpc =
+                            new Rpc(
+                                    asked.id,
+                                    asked.method,
+                                    asked.customer,
+                                    logic.group(asked.group),
+                                    asked.session,
+                                    time,
+                                    time.plus(asked.waits).minus(asked.waited).earlier(lastAnswer),
+                                    asked.after <= 0 ? Moment.NEVER : Moment.ofMillis(asked.after),
+                                    asked.repeat);
+                    rpc.roomless = asked.roomless;
+                    exchange.rpc = rpc;
+                    exchanges.put(rpc, exchange);
+                    watch(exchange);
+                    logic.arrived(time, rpc);
+                });
     }
 
     private void watch(Exchange exchange) {
@@ -190,7 +235,10 @@
         exchange.guard = timers.after(longest, () -> put(exchange, due -> overdue(due, exchange)));
     }
 
-    /** Guards against a defect that leaves an RPC without its answer: the module always answers before this. */
+    /**
+     * Guards against a defect that leaves an RPC without its answer: the module always answers
+     * before this.
+     */
     private void overdue(Moment time, Exchange exchange) {
         logic.settle(time);
         if (exchange.rpc.stage != Rpc.Stage.OVER && !exchange.isAnswered()) {
@@ -202,27 +250,31 @@
         if (exchange.statement == null) {
             return;
         }
-        put(null, time -> {
-            freeId(exchange);
-            if (exchange.rpc != null && exchange.rpc.stage != Rpc.Stage.OVER) {
-                counters.add(Count.LEFT);
-                logic.left(time, exchange.rpc);
-                forget(exchange.rpc);
-            }
-        });
+        put(
+                null,
+                time -> {
+                    freeId(exchange);
+                    if (exchange.rpc != null && exchange.rpc.stage != Rpc.Stage.OVER) {
+                        counters.add(Count.LEFT);
+                        logic.left(time, exchange.rpc);
+                        forget(exchange.rpc);
+                    }
+                });
     }
 
     /** The connection of a sending has come up: it is written if the module still stands by it. */
     void up(Sending sending) {
-        put(sending.exchange, time -> {
-            if (!sending.isOver()) {
-                if (logic.stillPasses(time, sending.callOut)) {
-                    sending.write(time);
-                } else {
-                    sending.leave();
-                }
-            }
-        });
+        put(
+                sending.exchange,
+                time -> {
+                    if (!sending.isOver()) {
+                        if (logic.stillPasses(time, sending.callOut)) {
+                            sending.write(time);
+                        } else {
+                            sending.leave();
+                        }
+                    }
+                });
     }
 
     void ended(Sending sending, Ending ending, HostWord word) {
@@ -246,7 +298,14 @@
         // What can't be read tells nothing: neither a role nor a position.
         Role role = outcome.answered ? word.role() : Role.UNTOLD;
         Moment position = outcome.answered ? word.position(time) : Moment.NEVER;
-        logic.ended(time, callOut, outcome, !open || outcome == Outcome.OK, role, position, time.since(callOut.sent));
+        logic.ended(
+                time,
+                callOut,
+                outcome,
+                !open || outcome == Outcome.OK,
+                role,
+                position,
+                time.since(callOut.sent));
         forget(rpc);
     }
 
@@ -255,10 +314,16 @@
     @Override
     public void send(CallOut callOut, Span limit) {
         counters.add(Count.CALL_OUTS);
-        Moment until = limit.us() > 0 ? callOut.rpc.deadline.earlier(now.plus(limit)) : callOut.rpc.deadline;
+        Moment until =
+                limit.us() > 0
+                        ? callOut.rpc.deadline.earlier(now.plus(limit))
+                        : callOut.rpc.deadline;
         Sending sending = new Sending(this, callOut, exchanges.get(callOut.rpc));
         sendings.put(callOut, sending);
-        sending.begin(hosts, now, timers.after(until.since(Clock.read()), () -> sending.giveUp(Ending.TIMED_OUT)));
+        sending.begin(
+                hosts,
+                now,
+                timers.after(until.since(Clock.read()), () -> sending.giveUp(Ending.TIMED_OUT)));
     }
 
     @Override
@@ -271,7 +336,9 @@
 
     @Override
     public void pushBack(Rpc rpc, Span comeBackAfter) {
-        answer(rpc, Count.PUSHED_BACK,
+        answer(
+                rpc,
+                Count.PUSHED_BACK,
                 new Failure(PUSHED_BACK.code(), PUSHED_BACK.message(), Timers.told(comeBackAfter)));
     }
 
--- a/router/src/main/java/ironwind/net/LoopLag.java
+++ b/router/src/main/java/ironwind/net/LoopLag.java
@@ -4,10 +4,11 @@
 import ironwind.model.Span;
 
 /**
- * How long what is read from a socket now may have lain there, as far as the loop itself knows: it was to beat at a
- * time, and has not yet, so it has looked at no socket since. A client counts from when it wrote; guards against RPCs
- * that came while the loop stood still (a start, a collection, a core that others had) and are answered when their
- * client's time is over. Harm: one that came at the end of such a time is given less of its own.
+ * How long what is read from a socket now may have lain there, as far as the loop itself knows: it
+ * was to beat at a time, and has not yet, so it has looked at no socket since. A client counts from
+ * when it wrote; guards against RPCs that came while the loop stood still (a start, a collection, a
+ * core that others had) and are answered when their client's time is over. Harm: one that came at
+ * the end of such a time is given less of its own.
  */
 final class LoopLag {
     private final Span every;
--- a/router/src/main/java/ironwind/net/LoopSocket.java
+++ b/router/src/main/java/ironwind/net/LoopSocket.java
@@ -20,24 +20,23 @@
 import java.util.Deque;
 
 /**
- * One socket of a client or to a host on the loop that serves: the system's channel and nothing above it. What is read
- * and written passes through buffers of the loop; one of its own it has only while the peer does not take what it is
- * owed.
+ * One socket of a client or to a host on the loop that serves: the system's channel and nothing
+ * above it. What is read and written passes through buffers of the loop; one of its own it has only
+ * while the peer does not take what it is owed.
  */
 final class LoopSocket extends NioSelectableChannelIoHandle<SocketChannel> {
     /** Of one turn, what is read from one client at most. */
     private static final int BUFFER_BYTES = 64 * 1024;
+
     private static final int CHUNK_BYTES = Buffers.PAGE_BYTES << Buffers.PAGES_AS_POWER;
 
     /** What happens on it. */
     interface Owner {
         /** What {@link #connect} began has come up. */
-        default void connected() {
-        }
+        default void connected() {}
 
         /** What {@link #connect} began never comes up. */
-        default void unconnected(IOException cause) {
-        }
+        default void unconnected(IOException cause) {}
 
         /** Something has come, or the peer is gone: time to {@link #read}. */
         void readable();
@@ -54,18 +53,24 @@
     private final Owner owner;
     private IoRegistration registration;
     private int interest;
+
     /** What the system has not taken; null where there is nothing. */
     private Deque<ByteBuf> left;
 
     /**
-     * Buffers of the loop: two that are lent for the length of one call, and a pool beside the heap for what the system
-     * does not take. On the heap it would grow old there, and each collection of what is old stops everyone.
+     * Buffers of the loop: two that are lent for the length of one call, and a pool beside the heap
+     * for what the system does not take. On the heap it would grow old there, and each collection
+     * of what is old stops everyone.
      */
     static final class Buffers {
         private static final int PAGE_BYTES = 8_192;
+
         /** A chunk of the pool is 256 KiB: some answers of the largest size. */
         private static final int PAGES_AS_POWER = 5;
-        /** Of the JVM's direct memory: asking for more than there is would make it collect and wait. */
+
+        /**
+         * Of the JVM's direct memory: asking for more than there is would make it collect and wait.
+         */
         private static final double POOL_PART = 0.5;
 
         private final ByteBuffer in = ByteBuffer.allocateDirect(BUFFER_BYTES);
@@ -77,7 +82,9 @@
         /** So many bytes, from the pool or, where it has no more, from the heap. */
         private ByteBuf lend(int bytes) {
             long pooled = pool.metric().usedDirectMemory();
-            return pooled + bytes + CHUNK_BYTES > most ? Unpooled.buffer(bytes, bytes) : pool.directBuffer(bytes, bytes);
+            return pooled + bytes + CHUNK_BYTES > most
+                    ? Unpooled.buffer(bytes, bytes)
+                    : pool.directBuffer(bytes, bytes);
         }
     }
 
@@ -89,10 +96,11 @@
     }
 
     /**
-     * Begins to connect, on the loop only; the owner hears of the end of it, later. An {@link IOException} tells that
-     * the system has no descriptor.
+     * Begins to connect, on the loop only; the owner hears of the end of it, later. An {@link
+     * IOException} tells that the system has no descriptor.
      */
-    static LoopSocket connect(IoEventLoop loop, Address to, Buffers buffers, Owner owner) throws IOException {
+    static LoopSocket connect(IoEventLoop loop, Address to, Buffers buffers, Owner owner)
+            throws IOException {
         SocketChannel channel = SocketChannel.open();
         LoopSocket socket = new LoopSocket(channel, buffers, owner);
         try {
@@ -123,14 +131,16 @@
 
     /** From now on it is looked at; on the loop only. */
     void register(IoEventLoop loop) {
-        loop.register(this).addListener(result -> {
-            if (result.isSuccess()) {
-                registration = (IoRegistration) result.getNow();
-                apply();
-            } else {
-                owner.broken();
-            }
-        });
+        loop.register(this)
+                .addListener(
+                        result -> {
+                            if (result.isSuccess()) {
+                                registration = (IoRegistration) result.getNow();
+                                apply();
+                            } else {
+                                owner.broken();
+                            }
+                        });
     }
 
     /** Whether it tells what comes. */
--- a/router/src/main/java/ironwind/net/Probe.java
+++ b/router/src/main/java/ironwind/net/Probe.java
@@ -9,6 +9,7 @@
 final class Probe implements HostConnection.Use {
     /** PROTOCOL: what asks for a sign of life, and what for a load report. */
     static final String FOR_LIFE = "SELECT 1";
+
     static final String FOR_REPORT = "SHOW load";
 
     private final LogicTask task;
@@ -47,7 +48,10 @@
     public void ended(Ending ending, HostWord word) {
         limit.cancel();
         boolean answered = ending == Ending.SERVED;
-        task.probed(host, answered, answered ? word.reportedRole() : Role.UNTOLD,
+        task.probed(
+                host,
+                answered,
+                answered ? word.reportedRole() : Role.UNTOLD,
                 answered ? word.reportedPosition(Clock.read()) : Moment.NEVER);
     }
 }
--- a/router/src/main/java/ironwind/net/Router.java
+++ b/router/src/main/java/ironwind/net/Router.java
@@ -21,15 +21,28 @@
 
 /** One real router, for use in a program of one's own: start it, ask its clients away, stop it. */
 public final class Router {
-    /** PROTOCOL: SIGKILL comes no sooner after SIGTERM than the longest deadline, up to 3 s, and 0.7 s. */
+    /**
+     * PROTOCOL: SIGKILL comes no sooner after SIGTERM than the longest deadline, up to 3 s, and 0.7
+     * s.
+     */
     private static final long MOST_DEADLINE_MS = 3_000;
+
     private static final long KILLED_AFTER_MS = 700;
+
     /** Of that time, what answers may need to be written. */
     private static final long LAST_WRITES_MS = 300;
-    /** The part of that time in which clients that know the router are served on, while others take over. */
+
+    /**
+     * The part of that time in which clients that know the router are served on, while others take
+     * over.
+     */
     private static final double SERVING_PART = 0.5;
-    /** How long the first list is waited for before the router says it is ready with what it knew. */
+
+    /**
+     * How long the first list is waited for before the router says it is ready with what it knew.
+     */
     private static final long FIRST_LIST_MS = 2_000;
+
     private final StartFacts facts;
     private final Log log;
     private final Function<Outbound, Inbound> module;
@@ -49,7 +62,11 @@
 
     /** With what the installation's own file says. */
     public Router(StartFacts facts, Installation installation, Log log) {
-        this(facts, installation, log, outbound -> new Logic(facts.deployment(), facts.seed(), outbound));
+        this(
+                facts,
+                installation,
+                log,
+                outbound -> new Logic(facts.deployment(), facts.seed(), outbound));
     }
 
     Router(StartFacts facts, Log log, Function<Outbound, Inbound> module) {
@@ -57,9 +74,14 @@
     }
 
     /** With another module in the place of {@link Logic}. */
-    Router(StartFacts facts, Installation installation, Log log, Function<Outbound, Inbound> module) {
+    Router(
+            StartFacts facts,
+            Installation installation,
+            Log log,
+            Function<Outbound, Inbound> module) {
         this.facts = facts;
-        // More than there are descriptors for would never meet their limit, and nobody would give way to a newcomer.
+        // More than there are descriptors for would never meet their limit, and nobody would give
+        // way to a newcomer.
         int most = facts.idleLimits().connections();
         this.limits = installation.idle().atMost(most);
         if (installation.idle().connections() > most) {
@@ -67,9 +89,16 @@
         }
         this.module = module;
         this.log = log;
-        this.vertx = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(1).setWorkerPoolSize(1)
-                .setInternalBlockingPoolSize(1).setFileSystemOptions(new FileSystemOptions()
-                        .setFileCachingEnabled(false).setClassPathResolvingEnabled(false)));
+        this.vertx =
+                Vertx.vertx(
+                        new VertxOptions()
+                                .setEventLoopPoolSize(1)
+                                .setWorkerPoolSize(1)
+                                .setInternalBlockingPoolSize(1)
+                                .setFileSystemOptions(
+                                        new FileSystemOptions()
+                                                .setFileCachingEnabled(false)
+                                                .setClassPathResolvingEnabled(false)));
         this.context = vertx.getOrCreateContext();
     }
 
@@ -78,30 +107,60 @@
         Promise<Void> started = Promise.promise();
         context.exceptionHandler(this::uncaught);
         vertx.exceptionHandler(this::uncaught);
-        context.runOnContext(nothing -> {
-            Budget budget = new Budget(limits.memory());
-            Timers timers = new Timers(loop(), this::uncaught);
-            LoopSocket.Buffers buffers = new LoopSocket.Buffers();
-            IoEventLoop loop = loop();
-            hosts = new HostConnections(loop, timers, buffers, facts, budget, facts.mostToHosts(), counters, log);
-            logic = new LogicTask(timers, facts, module, hosts, counters, log);
-            discovery = new Discovery(vertx, facts, logic, hosts, counters, log);
-            clients = new Clients(loop, timers, buffers, facts, limits, budget, facts.mostOfClients(), logic, counters, log);
-            Promise<Void> heard = Promise.promise();
-            // Before the door opens: what a client writes to a loop that is still loading code would lie there.
-            discovery.start(facts.knownHosts(), heard::tryComplete);
-            vertx.setTimer(FIRST_LIST_MS, timer -> heard.tryComplete());
-            context.runOnContext(later -> open(started, heard.future(), timers, buffers));
-        });
-        return started.future().onSuccess(nothing ->
-                log.info("listening", "name", facts.name(), "address", facts.listen().ip() + ":" + clients.port()));
+        context.runOnContext(
+                nothing -> {
+                    Budget budget = new Budget(limits.memory());
+                    Timers timers = new Timers(loop(), this::uncaught);
+                    LoopSocket.Buffers buffers = new LoopSocket.Buffers();
+                    IoEventLoop loop = loop();
+                    hosts =
+                            new HostConnections(
+                                    loop,
+                                    timers,
+                                    buffers,
+                                    facts,
+                                    budget,
+                                    facts.mostToHosts(),
+                                    counters,
+                                    log);
+                    logic = new LogicTask(timers, facts, module, hosts, counters, log);
+                    discovery = new Discovery(vertx, facts, logic, hosts, counters, log);
+                    clients =
+                            new Clients(
+                                    loop,
+                                    timers,
+                                    buffers,
+                                    facts,
+                                    limits,
+                                    budget,
+                                    facts.mostOfClients(),
+                                    logic,
+                                    counters,
+                                    log);
+                    Promise<Void> heard = Promise.promise();
+                    // Before the door opens: what a client writes to a loop that is still loading
+                    // code would lie there.
+                    discovery.start(facts.knownHosts(), heard::tryComplete);
+                    vertx.setTimer(FIRST_LIST_MS, timer -> heard.tryComplete());
+                    context.runOnContext(later -> open(started, heard.future(), timers, buffers));
+                });
+        return started.future()
+                .onSuccess(
+                        nothing ->
+                                log.info(
+                                        "listening",
+                                        "name",
+                                        facts.name(),
+                                        "address",
+                                        facts.listen().ip() + ":" + clients.port()));
     }
 
     private IoEventLoop loop() {
         return (IoEventLoop) ((ContextInternal) context).nettyEventLoop();
     }
 
-    private void open(Promise<Void> started, Future<Void> heard, Timers timers, LoopSocket.Buffers buffers) {
+    private void open(
+            Promise<Void> started, Future<Void> heard, Timers timers, LoopSocket.Buffers buffers) {
         Promise<Void> rehearsed = Promise.promise();
         try {
             clients.listen();
@@ -112,18 +171,28 @@
         }
         if (rehearses) {
             int most = Math.max(1, facts.mostOfClients() / 4);
-            clients.rehearse(new Rehearsal(loop(), timers, buffers, facts, module, most, played -> {
-                log.info("rehearsed", "rpcs", played);
-                rehearsed.tryComplete();
-            }));
+            clients.rehearse(
+                    new Rehearsal(
+                            loop(),
+                            timers,
+                            buffers,
+                            facts,
+                            module,
+                            most,
+                            played -> {
+                                log.info("rehearsed", "rpcs", played);
+                                rehearsed.tryComplete();
+                            }));
         } else {
             rehearsed.complete();
         }
         started.complete();
-        Future.all(rehearsed.future(), heard).onSuccess(both -> {
-            clients.ready();
-            log.info("ready", "name", facts.name());
-        });
+        Future.all(rehearsed.future(), heard)
+                .onSuccess(
+                        both -> {
+                            clients.ready();
+                            log.info("ready", "name", facts.name());
+                        });
     }
 
     /** Ready as soon as it has heard the list: for embedders whose code is warm already. */
@@ -138,51 +207,60 @@
     }
 
     /**
-     * Takes up new facts without letting go of a connection or an RPC: the address of discovery. All others hold
-     * until the next start.
+     * Takes up new facts without letting go of a connection or an RPC: the address of discovery.
+     * All others hold until the next start.
      */
     public Future<Void> reload(StartFacts next) {
         Promise<Void> done = Promise.promise();
-        context.runOnContext(nothing -> {
-            log.info("reloaded", "discovery", next.discovery());
-            discovery.moveTo(next.discovery());
-            done.complete();
-        });
+        context.runOnContext(
+                nothing -> {
+                    log.info("reloaded", "discovery", next.discovery());
+                    discovery.moveTo(next.discovery());
+                    done.complete();
+                });
         return done.future();
     }
 
     /**
-     * Goes on serving those who know it, while others take over, then asks them away between their requests, and ends
-     * when none is left. All is answered by the time at which PROTOCOL lets a router be killed.
+     * Goes on serving those who know it, while others take over, then asks them away between their
+     * requests, and ends when none is left. All is answered by the time at which PROTOCOL lets a
+     * router be killed.
      */
     public Future<Void> drain() {
         Promise<Void> gone = Promise.promise();
         log.info("draining");
-        context.runOnContext(nothing -> {
-            long untilKilled = Math.min(MOST_DEADLINE_MS, longestDeadline()) + KILLED_AFTER_MS;
-            logic.endBy(Span.ofMillis(untilKilled - LAST_WRITES_MS));
-            vertx.setTimer((long) (SERVING_PART * untilKilled), timer -> clients.dismissAll(gone::tryComplete));
-            vertx.setTimer(untilKilled - LAST_WRITES_MS / 2, timer -> gone.tryComplete());
-        });
+        context.runOnContext(
+                nothing -> {
+                    long untilKilled =
+                            Math.min(MOST_DEADLINE_MS, longestDeadline()) + KILLED_AFTER_MS;
+                    logic.endBy(Span.ofMillis(untilKilled - LAST_WRITES_MS));
+                    vertx.setTimer(
+                            (long) (SERVING_PART * untilKilled),
+                            timer -> clients.dismissAll(gone::tryComplete));
+                    vertx.setTimer(untilKilled - LAST_WRITES_MS / 2, timer -> gone.tryComplete());
+                });
         return gone.future();
     }
 
     private long longestDeadline() {
-        return facts.deployment().methods().stream().mapToLong(method -> method.deadline().us() / 1_000).max()
+        return facts.deployment().methods().stream()
+                .mapToLong(method -> method.deadline().us() / 1_000)
+                .max()
                 .orElse(0);
     }
 
     /** Ends at once. */
     public Future<Void> stop() {
         Promise<Void> stopped = Promise.promise();
-        context.runOnContext(nothing -> {
-            logic.tellUnanswered();
-            log.info("stopped", "counters", counters);
-            clients.stop();
-            discovery.stop();
-            hosts.stop();
-            vertx.close().onComplete(stopped);
-        });
+        context.runOnContext(
+                nothing -> {
+                    logic.tellUnanswered();
+                    log.info("stopped", "counters", counters);
+                    clients.stop();
+                    discovery.stop();
+                    hosts.stop();
+                    vertx.close().onComplete(stopped);
+                });
         return stopped.future();
     }
 
--- a/router/src/main/java/ironwind/net/Show.java
+++ b/router/src/main/java/ironwind/net/Show.java
@@ -27,7 +27,13 @@
     private final SteadyTime steady;
     private final LogicTask logic;
 
-    Show(Counters counters, Keeper keeper, Budget budget, Debtors debtors, Turns turns, SteadyTime steady,
+    Show(
+            Counters counters,
+            Keeper keeper,
+            Budget budget,
+            Debtors debtors,
+            Turns turns,
+            SteadyTime steady,
             LogicTask logic) {
         this.counters = counters;
         this.keeper = keeper;
@@ -38,7 +44,10 @@
         this.logic = logic;
     }
 
-    /** The whole answer to {@code SHOW stats}, {@code clients}, {@code idle} or {@code memory}; null to all else. */
+    /**
+     * The whole answer to {@code SHOW stats}, {@code clients}, {@code idle} or {@code memory}; null
+     * to all else.
+     */
     byte[] answerTo(String text) {
         String[] words = text.replace(";", "").strip().toLowerCase(Locale.ROOT).split("\\s+");
         if (words.length != 2 || !words[0].equals("show")) {
@@ -46,7 +55,9 @@
         }
         return switch (words[1]) {
             case "stats" -> Encoder.row(Row.ofText("stats", counters.toString()));
-            case "clients" -> Encoder.table(List.of("standing", "connections", "longest_in_it_ms"), clients());
+            case "clients" ->
+                    Encoder.table(
+                            List.of("standing", "connections", "longest_in_it_ms"), clients());
             case "idle" -> Encoder.table(NAME_AND_VALUE, idle());
             case "memory" -> Encoder.table(List.of("use", "bytes", "refused"), memory());
             default -> null;
@@ -57,8 +68,11 @@
         List<List<String>> rows = new ArrayList<>();
         long now = steady.at(System.nanoTime() / 1_000);
         for (Standing standing : Standing.values()) {
-            rows.add(List.of(standing.name().toLowerCase(Locale.ROOT), Integer.toString(keeper.standing(standing)),
-                    Long.toString(keeper.longest(standing, now).us() / 1_000)));
+            rows.add(
+                    List.of(
+                            standing.name().toLowerCase(Locale.ROOT),
+                            Integer.toString(keeper.standing(standing)),
+                            Long.toString(keeper.longest(standing, now).us() / 1_000)));
         }
         return rows;
     }
@@ -84,12 +98,22 @@
     private List<List<String>> memory() {
         List<List<String>> rows = new ArrayList<>();
         for (Use use : Use.values()) {
-            rows.add(List.of(use.label(), Long.toString(budget.lent(use)), Long.toString(budget.refused(use))));
+            rows.add(
+                    List.of(
+                            use.label(),
+                            Long.toString(budget.lent(use)),
+                            Long.toString(budget.refused(use))));
         }
         Runtime runtime = Runtime.getRuntime();
-        for (Object[] row : new Object[][] {{"all", budget.sum()}, {"highest", budget.highest()},
-            {"limit", budget.all()}, {"heap", runtime.totalMemory() - runtime.freeMemory()},
-            {"heap_limit", runtime.maxMemory()}, {"direct", Math.max(0, PlatformDependent.usedDirectMemory())}}) {
+        for (Object[] row :
+                new Object[][] {
+                    {"all", budget.sum()},
+                    {"highest", budget.highest()},
+                    {"limit", budget.all()},
+                    {"heap", runtime.totalMemory() - runtime.freeMemory()},
+                    {"heap_limit", runtime.maxMemory()},
+                    {"direct", Math.max(0, PlatformDependent.usedDirectMemory())}
+                }) {
             rows.add(List.of(row[0].toString(), row[1].toString(), "0"));
         }
         return rows;
--- a/router/src/main/java/ironwind/net/Timers.java
+++ b/router/src/main/java/ironwind/net/Timers.java
@@ -6,7 +6,10 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 
-/** Timers and turns of the event loop, with nothing above it; what an action throws is told, and the loop goes on. */
+/**
+ * Timers and turns of the event loop, with nothing above it; what an action throws is told, and the
+ * loop goes on.
+ */
 final class Timers {
     private final IoEventLoop loop;
     private final Consumer<Throwable> uncaught;
@@ -22,7 +25,8 @@
     }
 
     Timer after(Span span, Runnable action) {
-        Future<?> timer = loop.schedule(guarded(action), Math.max(0, span.us()), TimeUnit.MICROSECONDS);
+        Future<?> timer =
+                loop.schedule(guarded(action), Math.max(0, span.us()), TimeUnit.MICROSECONDS);
         return () -> timer.cancel(false);
     }
 
--- a/router/src/main/java/ironwind/pg/ClientMessage.java
+++ b/router/src/main/java/ironwind/pg/ClientMessage.java
@@ -3,24 +3,25 @@
 /** What a client says. */
 public sealed interface ClientMessage {
     /** The start-up message; its parameters steer nothing here. */
-    record Startup() implements ClientMessage { }
+    record Startup() implements ClientMessage {}
 
     /** A request for encryption, which is answered with a no. */
-    record Encryption() implements ClientMessage { }
+    record Encryption() implements ClientMessage {}
 
-    record CancelRequest() implements ClientMessage { }
+    record CancelRequest() implements ClientMessage {}
 
-    record Query(String sql) implements ClientMessage { }
+    record Query(String sql) implements ClientMessage {}
 
-    record Terminate() implements ClientMessage { }
+    record Terminate() implements ClientMessage {}
 
     /** A message of the extended query protocol: skipped until {@link Sync}. */
-    record Extended() implements ClientMessage { }
+    record Extended() implements ClientMessage {}
 
-    record Sync() implements ClientMessage { }
+    record Sync() implements ClientMessage {}
 
     /** The types of messages that {@link #decode} knows. */
     String TYPES = "QXSPBDECHF";
+
     int VERSION_3 = 3;
     int CANCEL = 80_877_102;
     int SSL = 80_877_103;
@@ -34,7 +35,9 @@
             case 'X' -> new Terminate();
             case 'S' -> new Sync();
             case 'P', 'B', 'D', 'E', 'C', 'H', 'F' -> new Extended();
-            default -> throw new PgFault(PgFault.PROTOCOL, "no message has the type " + (int) frame.type());
+            default ->
+                    throw new PgFault(
+                            PgFault.PROTOCOL, "no message has the type " + (int) frame.type());
         };
     }
 
@@ -48,7 +51,8 @@
             case SSL, GSS -> new Encryption();
             default -> {
                 if (version >> 16 != VERSION_3) {
-                    throw new PgFault(PgFault.UNSUPPORTED, "only version 3 of the protocol is spoken here");
+                    throw new PgFault(
+                            PgFault.UNSUPPORTED, "only version 3 of the protocol is spoken here");
                 }
                 yield new Startup();
             }
--- a/router/src/main/java/ironwind/pg/Encoder.java
+++ b/router/src/main/java/ironwind/pg/Encoder.java
@@ -10,17 +10,32 @@
     private static final int LENGTH_BYTES = 4;
     private static final int VERSION = ClientMessage.VERSION_3 << 16;
 
-    private Encoder() {
-    }
+    private Encoder() {}
 
     /** The answer to a start-up message, up to the first ReadyForQuery. */
     public static byte[] welcome() {
-        return new Writer().begin('R').int4(0).end()
-                .begin('S').text("server_version").text("15.0").end()
-                .begin('S').text("server_encoding").text("UTF8").end()
-                .begin('S').text("client_encoding").text("UTF8").end()
-                .begin('S').text("standard_conforming_strings").text("on").end()
-                .raw(READY).bytes();
+        return new Writer()
+                .begin('R')
+                .int4(0)
+                .end()
+                .begin('S')
+                .text("server_version")
+                .text("15.0")
+                .end()
+                .begin('S')
+                .text("server_encoding")
+                .text("UTF8")
+                .end()
+                .begin('S')
+                .text("client_encoding")
+                .text("UTF8")
+                .end()
+                .begin('S')
+                .text("standard_conforming_strings")
+                .text("on")
+                .end()
+                .raw(READY)
+                .bytes();
     }
 
     /** The answer to a request for encryption: no. */
@@ -31,7 +46,15 @@
     /** A table of text: a row for each list, as many values in each as there are columns. */
     public static byte[] table(List<String> columns, List<List<String>> rows) {
         Writer writer = new Writer().begin('T').int2(columns.size());
-        columns.forEach(column -> writer.text(column).int4(0).int2(0).int4(Row.TEXT_TYPE).int2(-1).int4(-1).int2(0));
+        columns.forEach(
+                column ->
+                        writer.text(column)
+                                .int4(0)
+                                .int2(0)
+                                .int4(Row.TEXT_TYPE)
+                                .int2(-1)
+                                .int4(-1)
+                                .int2(0));
         writer.end();
         for (List<String> row : rows) {
             writer.begin('D').int2(row.size());
@@ -57,12 +80,18 @@
 
     /** A row in parts, so that a large value is not copied. */
     public static byte[][] rowInParts(Row row) {
-        return new byte[][] {beforeValue(row).bytes(), row.data(), afterValue(new Writer(), row).raw(READY).bytes()};
+        return new byte[][] {
+            beforeValue(row).bytes(), row.data(), afterValue(new Writer(), row).raw(READY).bytes()
+        };
     }
 
     private static Writer beforeValue(Row row) {
-        return new Writer().begin('T').raw(row.description()).end()
-                .int1('D').int4(LENGTH_BYTES + row.data().length);
+        return new Writer()
+                .begin('T')
+                .raw(row.description())
+                .end()
+                .int1('D')
+                .int4(LENGTH_BYTES + row.data().length);
     }
 
     private static Writer afterValue(Writer writer, Row row) {
@@ -84,8 +113,17 @@
     }
 
     private static Writer failure(Failure failure, String severity) {
-        Writer writer = new Writer().begin('E').int1('S').text(severity).int1('V').text(severity)
-                .int1('C').text(failure.code()).int1('M').text(failure.message());
+        Writer writer =
+                new Writer()
+                        .begin('E')
+                        .int1('S')
+                        .text(severity)
+                        .int1('V')
+                        .text(severity)
+                        .int1('C')
+                        .text(failure.code())
+                        .int1('M')
+                        .text(failure.message());
         if (failure.detail() != null) {
             writer.int1('D').text(failure.detail());
         }
@@ -101,8 +139,16 @@
     }
 
     public static byte[] startup(String user, String database) {
-        return new Writer().begin(Frame.STARTUP).int4(VERSION).text("user").text(user)
-                .text("database").text(database).int1(0).end().bytes();
+        return new Writer()
+                .begin(Frame.STARTUP)
+                .int4(VERSION)
+                .text("user")
+                .text(user)
+                .text("database")
+                .text(database)
+                .int1(0)
+                .end()
+                .bytes();
     }
 
     public static byte[] query(String sql) {
--- a/router/src/main/java/ironwind/pg/Frames.java
+++ b/router/src/main/java/ironwind/pg/Frames.java
@@ -6,8 +6,10 @@
 public final class Frames {
     private static final int LENGTH_BYTES = 4;
     private static final byte[] NOTHING = {};
+
     /** Most messages are no longer than this. */
     private static final int USUAL = 512;
+
     /** PostgreSQL takes no longer start-up message. */
     private static final int LONGEST_STARTUP = 10_000;
 
@@ -19,8 +21,8 @@
     private int to;
 
     /**
-     * {@code startup}: the first message bears no type. The types that others may have; their bodies may have
-     * {@code longest} bytes.
+     * {@code startup}: the first message bears no type. The types that others may have; their
+     * bodies may have {@code longest} bytes.
      */
     public Frames(boolean startup, String types, int longest) {
         this.startup = startup;
@@ -49,13 +51,21 @@
         to += more.length;
     }
 
-    /** How long the message that has begun says it is, with its head; zero where that has not come yet. */
+    /**
+     * How long the message that has begun says it is, with its head; zero where that has not come
+     * yet.
+     */
     private int expected() {
         int head = startup ? 0 : 1;
-        return to - from < head + LENGTH_BYTES ? 0 : head + Math.max(0, Pg.int4(bytes, from + head));
+        return to - from < head + LENGTH_BYTES
+                ? 0
+                : head + Math.max(0, Pg.int4(bytes, from + head));
     }
 
-    /** The next whole message, or null where more must come first. A header that is wrong is told at once. */
+    /**
+     * The next whole message, or null where more must come first. A header that is wrong is told at
+     * once.
+     */
     public Frame next() {
         int head = startup ? 0 : 1;
         if (!startup && from < to && types.indexOf(bytes[from] & 0xff) < 0) {
@@ -70,7 +80,9 @@
         }
         int most = startup ? Math.min(LONGEST_STARTUP, longest) : longest;
         if (length > most) {
-            throw new PgFault(PgFault.TOO_LARGE, "a message has " + length + " bytes, " + most + " are allowed");
+            throw new PgFault(
+                    PgFault.TOO_LARGE,
+                    "a message has " + length + " bytes, " + most + " are allowed");
         }
         int body = from + head + LENGTH_BYTES;
         if (to - body < length) {
@@ -108,7 +120,10 @@
         return from < to ? bytes.length : 0;
     }
 
-    /** Bytes that the message which has begun will take; zero where none has, or its head has not come. */
+    /**
+     * Bytes that the message which has begun will take; zero where none has, or its head has not
+     * come.
+     */
     public int wants() {
         return Math.min(expected(), longest);
     }
--- a/router/src/main/java/ironwind/pg/HostMessage.java
+++ b/router/src/main/java/ironwind/pg/HostMessage.java
@@ -10,26 +10,27 @@
 
     /** What follows a column's name, and what stands before a value. */
     int COLUMN_BYTES = 18;
+
     int ROW_HEAD_BYTES = 6;
     Pattern SQLSTATE = Pattern.compile("[0-9A-Z]{5}");
     Pattern TAG = Pattern.compile("[A-Z]+( [0-9]+)*");
 
-    record Welcome() implements HostMessage { }
+    record Welcome() implements HostMessage {}
 
-    record Parameter(String name, String value) implements HostMessage { }
+    record Parameter(String name, String value) implements HostMessage {}
 
-    record Description(byte[] body) implements HostMessage { }
+    record Description(byte[] body) implements HostMessage {}
 
-    record Data(byte[] body) implements HostMessage { }
+    record Data(byte[] body) implements HostMessage {}
 
-    record Complete(String tag) implements HostMessage { }
+    record Complete(String tag) implements HostMessage {}
 
-    record Failed(Failure failure) implements HostMessage { }
+    record Failed(Failure failure) implements HostMessage {}
 
     /** What needs no reply and changes nothing, such as a notice. */
-    record Skipped() implements HostMessage { }
+    record Skipped() implements HostMessage {}
 
-    record Ready() implements HostMessage { }
+    record Ready() implements HostMessage {}
 
     static HostMessage decode(Frame frame) {
         byte[] body = frame.body();
@@ -42,7 +43,9 @@
             case 'E' -> new Failed(failure(body));
             case 'Z' -> ready(body);
             case 'N', 'K', 'I', 'A', 'v' -> new Skipped();
-            default -> throw new PgFault(PgFault.PROTOCOL, "no message has the type " + (int) frame.type());
+            default ->
+                    throw new PgFault(
+                            PgFault.PROTOCOL, "no message has the type " + (int) frame.type());
         };
     }
 
@@ -64,19 +67,28 @@
     }
 
     private static byte[] oneColumn(byte[] body) {
-        boolean one = body.length > 2 && body[0] == 0 && body[1] == 1
-                && Pg.text(body, 2).length() + 1 + COLUMN_BYTES == body.length - 2;
+        boolean one =
+                body.length > 2
+                        && body[0] == 0
+                        && body[1] == 1
+                        && Pg.text(body, 2).length() + 1 + COLUMN_BYTES == body.length - 2;
         return check(one, body, "a description is not that of one column");
     }
 
     private static byte[] oneValue(byte[] body) {
-        boolean one = body.length >= ROW_HEAD_BYTES && body[0] == 0 && body[1] == 1
-                && Math.max(0, Pg.int4(body, 2)) == body.length - ROW_HEAD_BYTES;
+        boolean one =
+                body.length >= ROW_HEAD_BYTES
+                        && body[0] == 0
+                        && body[1] == 1
+                        && Math.max(0, Pg.int4(body, 2)) == body.length - ROW_HEAD_BYTES;
         return check(one, body, "a row does not hold one value");
     }
 
     private static HostMessage ready(byte[] body) {
-        check(body.length == 1 && "ITE".indexOf(body[0]) >= 0, body, "a host is ready in no known state");
+        check(
+                body.length == 1 && "ITE".indexOf(body[0]) >= 0,
+                body,
+                "a host is ready in no known state");
         return new Ready();
     }
 
@@ -106,10 +118,13 @@
                 case 'C' -> code = value;
                 case 'M' -> message = value;
                 case 'D' -> detail = value;
-                default -> { }
+                default -> {}
             }
         }
-        check(at == body.length - 1 && SQLSTATE.matcher(code).matches(), body, "an error has no code that can be read");
+        check(
+                at == body.length - 1 && SQLSTATE.matcher(code).matches(),
+                body,
+                "an error has no code that can be read");
         return new Failure(code, message, detail);
     }
 }
--- a/router/src/main/java/ironwind/pg/Pg.java
+++ b/router/src/main/java/ironwind/pg/Pg.java
@@ -7,16 +7,19 @@
 public final class Pg {
     /** One char a byte, so that any text passes through as it came. */
     static final Charset BYTES = StandardCharsets.ISO_8859_1;
+
     /** PROTOCOL: values are no larger than this. */
     static final int LARGEST_VALUE = 64 * 1024;
+
     /** A value may stand in hexadecimal, with words round it. */
     public static final int LARGEST_MESSAGE = 2 * LARGEST_VALUE + 4_096;
 
-    private Pg() {
-    }
+    private Pg() {}
 
     static int int4(byte[] bytes, int at) {
-        return (bytes[at] & 0xff) << 24 | (bytes[at + 1] & 0xff) << 16 | (bytes[at + 2] & 0xff) << 8
+        return (bytes[at] & 0xff) << 24
+                | (bytes[at + 1] & 0xff) << 16
+                | (bytes[at + 2] & 0xff) << 8
                 | bytes[at + 3] & 0xff;
     }
 
--- a/router/src/main/java/ironwind/pg/Statement.java
+++ b/router/src/main/java/ironwind/pg/Statement.java
@@ -24,7 +24,10 @@
         for (String pair : trimmed.substring(OPEN.length(), close).strip().split(",")) {
             int equals = pair.indexOf('=');
             if (equals > 0
-                    && facts.put(pair.substring(0, equals).strip(), pair.substring(equals + 1).strip()) != null) {
+                    && facts.put(
+                                    pair.substring(0, equals).strip(),
+                                    pair.substring(equals + 1).strip())
+                            != null) {
                 throw new PgFault(PgFault.SYNTAX, "the comment names something twice");
             }
         }
@@ -36,8 +39,13 @@
         StringBuilder sql = new StringBuilder(text.length() + 160).append(OPEN);
         char before = ' ';
         for (Map.Entry<String, String> fact : facts.entrySet()) {
-            sql.append(before).append(fact.getKey()).append('=')
-                    .append(fact.getKey().equals(TIME_LEFT) ? Long.toString(millis) : fact.getValue());
+            sql.append(before)
+                    .append(fact.getKey())
+                    .append('=')
+                    .append(
+                            fact.getKey().equals(TIME_LEFT)
+                                    ? Long.toString(millis)
+                                    : fact.getValue());
             before = ',';
         }
         return sql.append(' ').append(CLOSE).append(' ').append(text).toString();
@@ -61,8 +69,12 @@
         } catch (NumberFormatException e) {
             // told below, as what is out of range is
         }
-        throw new PgFault(PgFault.SYNTAX, "the comment's " + name + " is no whole number in its range: "
-                + value.substring(0, Math.min(SHOWN, value.length())));
+        throw new PgFault(
+                PgFault.SYNTAX,
+                "the comment's "
+                        + name
+                        + " is no whole number in its range: "
+                        + value.substring(0, Math.min(SHOWN, value.length())));
     }
 
     /** The first quoted literal, which names the row; null where there is none. */
--- a/router/src/main/java/ironwind/start/DeploymentReader.java
+++ b/router/src/main/java/ironwind/start/DeploymentReader.java
@@ -12,18 +12,34 @@
 import java.util.List;
 import java.util.Map;
 
-/** Reads the settings that a router is started with, from either door, into the deployment's facts. */
+/**
+ * Reads the settings that a router is started with, from either door, into the deployment's facts.
+ */
 public final class DeploymentReader {
-    private static final Map<String, Effect> EFFECTS = Map.of(
-            "retryable", Effect.IDEMPOTENT, "dedup", Effect.TOKENED, "fragile", Effect.NON_IDEMPOTENT);
-    private static final Map<String, Freshness> LEVELS = Map.of(
-            "update", Freshness.WRITE, "latest", Freshness.FRESH, "own_writes", Freshness.SESSION,
-            "recent", Freshness.BOUNDED, "loose", Freshness.ANY);
-    private static final Map<String, HostChecks> CHECKS = Map.of(
-            "off", HostChecks.NONE, "reject", HostChecks.REFUSE, "hold", HostChecks.REFUSE);
+    private static final Map<String, Effect> EFFECTS =
+            Map.of(
+                    "retryable",
+                    Effect.IDEMPOTENT,
+                    "dedup",
+                    Effect.TOKENED,
+                    "fragile",
+                    Effect.NON_IDEMPOTENT);
+    private static final Map<String, Freshness> LEVELS =
+            Map.of(
+                    "update",
+                    Freshness.WRITE,
+                    "latest",
+                    Freshness.FRESH,
+                    "own_writes",
+                    Freshness.SESSION,
+                    "recent",
+                    Freshness.BOUNDED,
+                    "loose",
+                    Freshness.ANY);
+    private static final Map<String, HostChecks> CHECKS =
+            Map.of("off", HostChecks.NONE, "reject", HostChecks.REFUSE, "hold", HostChecks.REFUSE);
 
-    private DeploymentReader() {
-    }
+    private DeploymentReader() {}
 
     public static Deployment read(NamedValues from) {
         List<String> levels = from.list("extra.read_level");
@@ -36,12 +52,23 @@
             long goal = from.whole(at + "goal_time_us", deadline);
             double worth = from.number(at + "worth", 1);
             String scope = from.text(at + "key_scope");
-            methods.add(new Method(i,
-                    pick(from, at + "effect", EFFECTS, from.need(at + "effect")),
-                    i < levels.size() ? pick(from, "extra.read_level", LEVELS, levels.get(i)) : Freshness.ANY,
-                    new Span(i < bounds.size() ? from.parseWhole("extra.lag_allowed_us", bounds.get(i)) : 0),
-                    new Span(goal), new Span(deadline), worth, worth * from.number(at + "late_worth", 0),
-                    "all".equals(scope), new Span(from.whole(at + "window_us", 0))));
+            methods.add(
+                    new Method(
+                            i,
+                            pick(from, at + "effect", EFFECTS, from.need(at + "effect")),
+                            i < levels.size()
+                                    ? pick(from, "extra.read_level", LEVELS, levels.get(i))
+                                    : Freshness.ANY,
+                            new Span(
+                                    i < bounds.size()
+                                            ? from.parseWhole("extra.lag_allowed_us", bounds.get(i))
+                                            : 0),
+                            new Span(goal),
+                            new Span(deadline),
+                            worth,
+                            worth * from.number(at + "late_worth", 0),
+                            "all".equals(scope),
+                            new Span(from.whole(at + "window_us", 0))));
         }
         List<Customer> customers = new ArrayList<>();
         for (int i = 0; i < from.small("tenants.count", 0); i++) {
@@ -50,7 +77,9 @@
         String via = from.text("reporting.via");
         boolean reports = via != null && !via.equals("off");
         String checks = from.text("extra.when_behind");
-        return new Deployment(methods, customers,
+        return new Deployment(
+                methods,
+                customers,
                 Math.max(1, from.small("peers_total", 1)),
                 new Span(from.whole("period_us", 0)),
                 checks == null ? HostChecks.NONE : pick(from, "extra.when_behind", CHECKS, checks),
--- a/router/src/main/java/ironwind/start/IdleBlock.java
+++ b/router/src/main/java/ironwind/start/IdleBlock.java
@@ -13,43 +13,75 @@
     private static final long LEAST_BYTES = 256 << 10;
     private static final long MOST_BYTES = 1L << 40;
 
-    private IdleBlock() {
-    }
+    private IdleBlock() {}
 
     static Limits read(Section idle, Limits otherwise) {
         int connections = idle.whole("connections", 1, MOST_CONNECTIONS, otherwise.connections());
         int newPerSecond = idle.whole("new_per_second", 0, MOST_A_SECOND, otherwise.newPerSecond());
-        Limits limits = new Limits(connections,
-                idle.whole("per_address", 0, MOST_CONNECTIONS, otherwise.perAddress()),
-                idle.whole("per_customer", 0, MOST_CONNECTIONS, otherwise.perCustomer()),
-                newPerSecond,
-                idle.whole("new_at_once", 0, MOST_A_SECOND,
-                        newPerSecond == 0 ? otherwise.newAtOnce() : Math.max(1, newPerSecond / 10)),
-                idle.span("startup_time", SHORTEST, LONGEST, otherwise.startupTime()),
-                idle.span("message_time", SHORTEST, LONGEST, otherwise.messageTime()),
-                idle.span("greeted_time", Span.ZERO, LONGEST, otherwise.greetedTime()),
-                idle.span("served_time", Span.ZERO, LONGEST, otherwise.servedTime()),
-                idle.span("crowded_time", Span.ZERO, LONGEST, otherwise.crowdedTime()),
-                idle.part("crowded_part", otherwise.crowdedPart()),
-                idle.bytes("memory", LEAST_BYTES, MOST_BYTES, otherwise.memory()),
-                idle.bytes("owed_each", 1, MOST_BYTES, otherwise.owedEach()),
-                idle.bytes("owed_all", 1, MOST_BYTES, otherwise.owedAll()),
-                idle.span("slow_reader_time", SHORTEST, LONGEST, otherwise.slowReaderTime()),
-                idle.whole("open_rpcs", 1, MOST_CONNECTIONS, otherwise.openRpcs()),
-                idle.span("turn_time", new Span(100), Span.ofMillis(100), otherwise.turnTime()),
-                idle.span("crowd_time", Span.ofMillis(1), LONGEST, otherwise.crowdTime()),
-                idle.span("active_time", Span.ZERO, LONGEST, otherwise.activeTime()),
-                idle.span("keepalive", Span.ZERO, LONGEST, otherwise.keepalive()),
-                idle.bytes("send_buffer", 0, 1 << 30, otherwise.sendBuffer()));
-        idle.require(limits.perAddress() <= connections, "is more than connections", "per_address", "connections");
-        idle.require(limits.perCustomer() <= connections, "is more than connections", "per_customer", "connections");
-        idle.require(limits.owedAll() < limits.memory(), "is not less than memory, so that slow readers could leave "
-                + "nothing for others", "owed_all", "memory");
-        idle.require(limits.owedEach() <= limits.owedAll(), "is more than owed_all", "owed_each", "owed_all");
-        idle.require(limits.crowdedTime().us() == 0 || limits.servedTime().us() == 0
-                || !limits.crowdedTime().longerThan(limits.servedTime()),
-                "is longer than served_time, though it holds when room is short", "crowded_time", "served_time");
-        idle.require(newPerSecond > 0 || !idle.has("new_at_once"), "says nothing without new_per_second",
+        Limits limits =
+                new Limits(
+                        connections,
+                        idle.whole("per_address", 0, MOST_CONNECTIONS, otherwise.perAddress()),
+                        idle.whole("per_customer", 0, MOST_CONNECTIONS, otherwise.perCustomer()),
+                        newPerSecond,
+                        idle.whole(
+                                "new_at_once",
+                                0,
+                                MOST_A_SECOND,
+                                newPerSecond == 0
+                                        ? otherwise.newAtOnce()
+                                        : Math.max(1, newPerSecond / 10)),
+                        idle.span("startup_time", SHORTEST, LONGEST, otherwise.startupTime()),
+                        idle.span("message_time", SHORTEST, LONGEST, otherwise.messageTime()),
+                        idle.span("greeted_time", Span.ZERO, LONGEST, otherwise.greetedTime()),
+                        idle.span("served_time", Span.ZERO, LONGEST, otherwise.servedTime()),
+                        idle.span("crowded_time", Span.ZERO, LONGEST, otherwise.crowdedTime()),
+                        idle.part("crowded_part", otherwise.crowdedPart()),
+                        idle.bytes("memory", LEAST_BYTES, MOST_BYTES, otherwise.memory()),
+                        idle.bytes("owed_each", 1, MOST_BYTES, otherwise.owedEach()),
+                        idle.bytes("owed_all", 1, MOST_BYTES, otherwise.owedAll()),
+                        idle.span(
+                                "slow_reader_time", SHORTEST, LONGEST, otherwise.slowReaderTime()),
+                        idle.whole("open_rpcs", 1, MOST_CONNECTIONS, otherwise.openRpcs()),
+                        idle.span(
+                                "turn_time",
+                                new Span(100),
+                                Span.ofMillis(100),
+                                otherwise.turnTime()),
+                        idle.span("crowd_time", Span.ofMillis(1), LONGEST, otherwise.crowdTime()),
+                        idle.span("active_time", Span.ZERO, LONGEST, otherwise.activeTime()),
+                        idle.span("keepalive", Span.ZERO, LONGEST, otherwise.keepalive()),
+                        idle.bytes("send_buffer", 0, 1 << 30, otherwise.sendBuffer()));
+        idle.require(
+                limits.perAddress() <= connections,
+                "is more than connections",
+                "per_address",
+                "connections");
+        idle.require(
+                limits.perCustomer() <= connections,
+                "is more than connections",
+                "per_customer",
+                "connections");
+        idle.require(
+                limits.owedAll() < limits.memory(),
+                "is not less than memory, so that slow readers could leave " + "nothing for others",
+                "owed_all",
+                "memory");
+        idle.require(
+                limits.owedEach() <= limits.owedAll(),
+                "is more than owed_all",
+                "owed_each",
+                "owed_all");
+        idle.require(
+                limits.crowdedTime().us() == 0
+                        || limits.servedTime().us() == 0
+                        || !limits.crowdedTime().longerThan(limits.servedTime()),
+                "is longer than served_time, though it holds when room is short",
+                "crowded_time",
+                "served_time");
+        idle.require(
+                newPerSecond > 0 || !idle.has("new_at_once"),
+                "says nothing without new_per_second",
                 "new_at_once");
         idle.done();
         return limits;
--- a/router/src/main/java/ironwind/start/Installation.java
+++ b/router/src/main/java/ironwind/start/Installation.java
@@ -7,7 +7,10 @@
 import ironwind.idle.Limits;
 import java.nio.file.Path;
 
-/** What {@code deploy/ironwind.hcl} says, a block a subsystem; without the file everything is as the start facts say. */
+/**
+ * What {@code deploy/ironwind.hcl} says, a block a subsystem; without the file everything is as the
+ * start facts say.
+ */
 public record Installation(Limits idle, LogForm logForm) {
     /** How log lines are written. */
     public enum LogForm {
@@ -27,7 +30,10 @@
         return file == null ? of(facts) : read(file, facts.idleLimits());
     }
 
-    /** Reads a file whole or not at all; an {@link ironwind.hcl.HclFault} tells all that is wrong with it. */
+    /**
+     * Reads a file whole or not at all; an {@link ironwind.hcl.HclFault} tells all that is wrong
+     * with it.
+     */
     public static Installation read(Path file, Limits otherwise) {
         Complaints complaints = new Complaints(file.toString());
         Block block = HclReader.read(file, complaints);
@@ -37,8 +43,10 @@
     static Installation read(Block file, Limits otherwise, Complaints complaints) {
         Section all = new Section(file, complaints);
         Section log = all.only("log");
-        Installation read = new Installation(IdleBlock.read(all.only("idle"), otherwise),
-                log.choice("form", LogForm.class, LogForm.PAIRS));
+        Installation read =
+                new Installation(
+                        IdleBlock.read(all.only("idle"), otherwise),
+                        log.choice("form", LogForm.class, LogForm.PAIRS));
         log.done();
         all.done();
         complaints.throwIfAny();
--- a/router/src/main/java/ironwind/start/JsonValues.java
+++ b/router/src/main/java/ironwind/start/JsonValues.java
@@ -7,8 +7,8 @@
 import java.util.stream.Collectors;
 
 /**
- * Nested JSON as a flat view: paths joined by dots, a list of objects as its length under {@code .count} and its
- * items under their numbers, a list of plain values joined by commas.
+ * Nested JSON as a flat view: paths joined by dots, a list of objects as its length under {@code
+ * .count} and its items under their numbers, a list of plain values joined by commas.
  */
 public final class JsonValues implements NamedValues {
     private final String root;
@@ -31,7 +31,9 @@
                     flatten(path + "." + i, array.getValue(i));
                 }
             } else {
-                values.put(path, array.stream().map(JsonValues::plain).collect(Collectors.joining(",")));
+                values.put(
+                        path,
+                        array.stream().map(JsonValues::plain).collect(Collectors.joining(",")));
             }
         } else if (value != null) {
             values.put(path, plain(value));
@@ -40,7 +42,10 @@
 
     /** A number without a fraction is written without one, however it stood in the JSON. */
     private static String plain(Object value) {
-        boolean whole = value instanceof Double number && number == Math.rint(number) && Math.abs(number) < 1e15;
+        boolean whole =
+                value instanceof Double number
+                        && number == Math.rint(number)
+                        && Math.abs(number) < 1e15;
         return whole ? Long.toString(((Double) value).longValue()) : String.valueOf(value);
     }
 
--- a/router/src/main/java/ironwind/start/NamedValues.java
+++ b/router/src/main/java/ironwind/start/NamedValues.java
@@ -2,7 +2,10 @@
 
 import java.util.List;
 
-/** A flat view of names and values, such as the fields of a line, or nested settings with their paths as names. */
+/**
+ * A flat view of names and values, such as the fields of a line, or nested settings with their
+ * paths as names.
+ */
 public interface NamedValues {
     /** The value of this name, or null where it is absent. */
     String text(String key);
--- a/router/src/main/java/ironwind/start/Names.java
+++ b/router/src/main/java/ironwind/start/Names.java
@@ -7,8 +7,13 @@
 import java.util.List;
 import java.util.Map;
 
-/** What the deployment's things are called on the wire. The decision module never sees these names. */
-public record Names(Map<String, Method> methods, Map<String, Customer> customers, List<String> zones,
+/**
+ * What the deployment's things are called on the wire. The decision module never sees these names.
+ */
+public record Names(
+        Map<String, Method> methods,
+        Map<String, Customer> customers,
+        List<String> zones,
         List<String> kinds) {
 
     static Names read(NamedValues from, Deployment deployment) {
--- a/router/src/main/java/ironwind/start/StartFacts.java
+++ b/router/src/main/java/ironwind/start/StartFacts.java
@@ -27,11 +27,19 @@
         Span answerSlack) {
     /** DEPLOY and LATER: no router gets less. */
     private static final int LEAST_MEMORY_MB = 32;
-    /** Descriptors for all that is no connection of a client or a host: files, selectors, discovery. */
+
+    /**
+     * Descriptors for all that is no connection of a client or a host: files, selectors, discovery.
+     */
     private static final int OTHER_DESCRIPTORS = 32;
+
     /** Of the others, the part that connections to hosts may take. */
     private static final double HOSTS_PART = 0.4;
-    /** Of the clients' part, what the door lets in beyond it, so that one that comes can take another's place. */
+
+    /**
+     * Of the clients' part, what the door lets in beyond it, so that one that comes can take
+     * another's place.
+     */
     private static final double SPARE_PART = 0.1;
 
     /** Reads them from a JSON file; a {@link StartFault} tells what is missing or malformed. */
@@ -49,21 +57,34 @@
         NamedValues top = new JsonValues("configuration", json);
         NamedValues settings = new JsonValues("settings", child(json, "settings"));
         Deployment deployment = DeploymentReader.read(settings);
-        return new StartFacts(top.need("name"), Address.parse(top.need("listen")),
-                Address.parse(top.need("discovery")), seed(top), top.needSmall("limits.sockets"),
+        return new StartFacts(
+                top.need("name"),
+                Address.parse(top.need("listen")),
+                Address.parse(top.need("discovery")),
+                seed(top),
+                top.needSmall("limits.sockets"),
                 top.small("limits.memory_mb", LEAST_MEMORY_MB),
-                child(json, "known"), deployment, Names.read(settings, deployment),
+                child(json, "known"),
+                deployment,
+                Names.read(settings, deployment),
                 new Span(settings.needWhole("caps.connect_timeout_us")),
                 new Span(settings.needWhole("caps.idle_close_us")),
                 new Span(settings.needWhole("rules.answer_slack_us")));
     }
 
-    /** Limits on client connections, where nothing else is said: a part of the descriptors is theirs. */
+    /**
+     * Limits on client connections, where nothing else is said: a part of the descriptors is
+     * theirs.
+     */
     public Limits idleLimits() {
         int clients = mostOfClients();
         int spare = Math.max(1, (int) (SPARE_PART * clients));
-        List<Span> deadlines = deployment.methods().stream().map(Method::deadline).sorted().toList();
-        return Limits.of(clients - spare, memoryMb, deadlines.isEmpty() ? Span.ZERO : deadlines.get(0),
+        List<Span> deadlines =
+                deployment.methods().stream().map(Method::deadline).sorted().toList();
+        return Limits.of(
+                clients - spare,
+                memoryMb,
+                deadlines.isEmpty() ? Span.ZERO : deadlines.get(0),
                 deadlines.isEmpty() ? Span.ZERO : deadlines.get(deadlines.size() - 1));
     }
 
@@ -83,8 +104,19 @@
 
     /** The same facts, but for how long connections to hosts may take to come up. */
     public StartFacts withConnectTime(Span time) {
-        return new StartFacts(name, listen, discovery, seed, mostSockets, memoryMb, knownHosts, deployment, names, time,
-                hostIdleTime, answerSlack);
+        return new StartFacts(
+                name,
+                listen,
+                discovery,
+                seed,
+                mostSockets,
+                memoryMb,
+                knownHosts,
+                deployment,
+                names,
+                time,
+                hostIdleTime,
+                answerSlack);
     }
 
     private static JsonObject child(JsonObject json, String key) {
--- a/router/src/test/java/ironwind/ArchitectureTest.java
+++ b/router/src/test/java/ironwind/ArchitectureTest.java
@@ -11,24 +11,59 @@
 @AnalyzeClasses(packages = "ironwind", importOptions = ImportOption.DoNotIncludeTests.class)
 class ArchitectureTest {
     @ArchTest
-    static final ArchRule ONE_WAY = Architectures.layeredArchitecture().consideringOnlyDependenciesInLayers()
-            .layer("boot").definedBy("ironwind.boot..").layer("adapter").definedBy("ironwind.adapter..")
-            .layer("net").definedBy("ironwind.net..").layer("start").definedBy("ironwind.start..")
-            .layer("logic").definedBy("ironwind").layer("idle").definedBy("ironwind.idle..")
-            .layer("pg").definedBy("ironwind.pg..").layer("hcl").definedBy("ironwind.hcl..")
-            .layer("model").definedBy("ironwind.model..")
-            .whereLayer("boot").mayNotBeAccessedByAnyLayer()
-            .whereLayer("adapter").mayOnlyBeAccessedByLayers("boot")
-            .whereLayer("net").mayOnlyBeAccessedByLayers("boot")
-            .whereLayer("start").mayOnlyBeAccessedByLayers("boot", "adapter", "net")
-            .whereLayer("logic").mayOnlyBeAccessedByLayers("adapter", "net")
-            .whereLayer("idle").mayOnlyBeAccessedByLayers("net", "start")
-            .whereLayer("pg").mayOnlyBeAccessedByLayers("net")
-            .whereLayer("hcl").mayOnlyBeAccessedByLayers("start", "boot");
+    static final ArchRule ONE_WAY =
+            Architectures.layeredArchitecture()
+                    .consideringOnlyDependenciesInLayers()
+                    .layer("boot")
+                    .definedBy("ironwind.boot..")
+                    .layer("adapter")
+                    .definedBy("ironwind.adapter..")
+                    .layer("net")
+                    .definedBy("ironwind.net..")
+                    .layer("start")
+                    .definedBy("ironwind.start..")
+                    .layer("logic")
+                    .definedBy("ironwind")
+                    .layer("idle")
+                    .definedBy("ironwind.idle..")
+                    .layer("pg")
+                    .definedBy("ironwind.pg..")
+                    .layer("hcl")
+                    .definedBy("ironwind.hcl..")
+                    .layer("model")
+                    .definedBy("ironwind.model..")
+                    .whereLayer("boot")
+                    .mayNotBeAccessedByAnyLayer()
+                    .whereLayer("adapter")
+                    .mayOnlyBeAccessedByLayers("boot")
+                    .whereLayer("net")
+                    .mayOnlyBeAccessedByLayers("boot")
+                    .whereLayer("start")
+                    .mayOnlyBeAccessedByLayers("boot", "adapter", "net")
+                    .whereLayer("logic")
+                    .mayOnlyBeAccessedByLayers("adapter", "net")
+                    .whereLayer("idle")
+                    .mayOnlyBeAccessedByLayers("net", "start")
+                    .whereLayer("pg")
+                    .mayOnlyBeAccessedByLayers("net")
+                    .whereLayer("hcl")
+                    .mayOnlyBeAccessedByLayers("start", "boot");
 
     @ArchTest
-    static final ArchRule DECIDING_DOES_NO_IO = ArchRuleDefinition.noClasses().that()
-            .resideInAnyPackage("ironwind", "ironwind.idle..", "ironwind.model..", "ironwind.pg..")
-            .should().dependOnClassesThat().resideInAnyPackage("java.io..", "java.nio.channels..", "java.net..",
-                    "java.nio.file..", "io.vertx..", "io.netty..", "java.util.concurrent..", "java.time..");
+    static final ArchRule DECIDING_DOES_NO_IO =
+            ArchRuleDefinition.noClasses()
+                    .that()
+                    .resideInAnyPackage(
+                            "ironwind", "ironwind.idle..", "ironwind.model..", "ironwind.pg..")
+                    .should()
+                    .dependOnClassesThat()
+                    .resideInAnyPackage(
+                            "java.io..",
+                            "java.nio.channels..",
+                            "java.net..",
+                            "java.nio.file..",
+                            "io.vertx..",
+                            "io.netty..",
+                            "java.util.concurrent..",
+                            "java.time..");
 }
--- a/router/src/test/java/ironwind/LogicTest.java
+++ b/router/src/test/java/ironwind/LogicTest.java
@@ -7,12 +7,12 @@
 import ironwind.model.Effect;
 import ironwind.model.Host;
 import ironwind.model.Moment;
-import ironwind.model.Span;
 import ironwind.model.Outcome;
 import ironwind.model.Role;
 import ironwind.model.Room;
 import ironwind.model.Rpc;
 import ironwind.model.Rpc.Stage;
+import ironwind.model.Span;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.stream.IntStream;
@@ -22,7 +22,8 @@
 
 class LogicTest {
     private static Scene scene(HostChecks checks) {
-        return new Scene(checks, checks == HostChecks.NONE, Effect.NON_IDEMPOTENT, 2).list(true, "a:primary", "b", "c");
+        return new Scene(checks, checks == HostChecks.NONE, Effect.NON_IDEMPOTENT, 2)
+                .list(true, "a:primary", "b", "c");
     }
 
     /** Lets b and c tell positions of these ages by answering any-reads. */
@@ -38,10 +39,18 @@
 
     @ParameterizedTest(name = "method {0}, token {1} ms old, b {2} ms and c {3} ms behind: {4}")
     @CsvSource({
-        "2, 200, 100, 250, b", "2, 200, 250, 100, c", "2, 100, 200, 200, a", "2, 0, 900, 900, b|c",
-        "3, 0, 100, 400, b", "3, 0, 400, 290, c", "3, 0, 400, 400, a", "1, 0, 0, 0, a", "0, 0, 0, 0, a"})
-    void gateTakesReplicasKnownPastThePositionElseThePrimaryAfterABriefWait(int method, long token, long b, long c,
-            String expected) {
+        "2, 200, 100, 250, b",
+        "2, 200, 250, 100, c",
+        "2, 100, 200, 200, a",
+        "2, 0, 900, 900, b|c",
+        "3, 0, 100, 400, b",
+        "3, 0, 400, 290, c",
+        "3, 0, 400, 400, a",
+        "1, 0, 0, 0, a",
+        "0, 0, 0, 0, a"
+    })
+    void gateTakesReplicasKnownPastThePositionElseThePrimaryAfterABriefWait(
+            int method, long token, long b, long c, String expected) {
         Scene scene = positions(b, c);
         Rpc rpc = scene.arrive(method, token);
         scene.pass(40);
@@ -53,15 +62,30 @@
         Scene scene = positions(10, 10);
         Rpc first = scene.arrive(Scene.BOUNDED);
         Rpc second = scene.arrive(Scene.BOUNDED);
-        assertThat(List.of(Scene.path(first), Scene.path(second))).containsExactlyInAnyOrder("b", "c");
+        assertThat(List.of(Scene.path(first), Scene.path(second)))
+                .containsExactlyInAnyOrder("b", "c");
     }
 
-    /** Guards against an RPC that nothing holds any more and that still goes out, or stays without an answer. */
+    /**
+     * Guards against an RPC that nothing holds any more and that still goes out, or stays without
+     * an answer.
+     */
     @Test
     void whatThereIsNoRoomToHoldIsPushedBackAtOnceAndGoesNowhere() {
-        Scene scene = new Scene(HostChecks.NONE, false, Effect.NON_IDEMPOTENT, 1).list(true, "a:primary", "b");
-        Rpc rpc = new Rpc("x", scene.arrive(Scene.ANY).method, null, scene.logic.group(1), "s", scene.now(),
-                scene.now().plus(Span.ofMillis(900)), Moment.NEVER, false);
+        Scene scene =
+                new Scene(HostChecks.NONE, false, Effect.NON_IDEMPOTENT, 1)
+                        .list(true, "a:primary", "b");
+        Rpc rpc =
+                new Rpc(
+                        "x",
+                        scene.arrive(Scene.ANY).method,
+                        null,
+                        scene.logic.group(1),
+                        "s",
+                        scene.now(),
+                        scene.now().plus(Span.ofMillis(900)),
+                        Moment.NEVER,
+                        false);
         rpc.roomless = true;
         scene.asked.clear();
         scene.logic.arrived(scene.now(), rpc);
@@ -87,27 +111,41 @@
 
     @ParameterizedTest(name = "{0} after {1}: sent again {2}, then {3}")
     @CsvSource({
-        "NON_IDEMPOTENT, ERROR, false, abort", "NON_IDEMPOTENT, BROKEN, false, abort",
-        "NON_IDEMPOTENT, EXPIRED, false, abort", "NON_IDEMPOTENT, CANCELLED, false, abort",
-        "NON_IDEMPOTENT, FULL, true, push back", "NON_IDEMPOTENT, UNSENT, true, push back",
-        "TOKENED, BROKEN, true, abort", "TOKENED, FULL, true, push back", "IDEMPOTENT, ERROR, true, push back"})
-    void onlyWhatCannotTakeEffectTwiceGoesAgainOrIsPushedBack(Effect effect, Outcome outcome, boolean again,
-            String end) {
-        Scene scene = new Scene(HostChecks.NONE, false, effect, 2).list(true, "a:primary", "b", "c");
+        "NON_IDEMPOTENT, ERROR, false, abort",
+        "NON_IDEMPOTENT, BROKEN, false, abort",
+        "NON_IDEMPOTENT, EXPIRED, false, abort",
+        "NON_IDEMPOTENT, CANCELLED, false, abort",
+        "NON_IDEMPOTENT, FULL, true, push back",
+        "NON_IDEMPOTENT, UNSENT, true, push back",
+        "TOKENED, BROKEN, true, abort",
+        "TOKENED, FULL, true, push back",
+        "IDEMPOTENT, ERROR, true, push back"
+    })
+    void onlyWhatCannotTakeEffectTwiceGoesAgainOrIsPushedBack(
+            Effect effect, Outcome outcome, boolean again, String end) {
+        Scene scene =
+                new Scene(HostChecks.NONE, false, effect, 2).list(true, "a:primary", "b", "c");
         Rpc rpc = scene.arrive(Scene.WRITE);
         scene.end(rpc, outcome, Role.UNTOLD, -1).pass(50);
         assertThat(rpc.callOuts.size() > 1).isEqualTo(again);
         while (rpc.stage == Stage.OUT) {
-            scene.list(true, "a:draining", "b:draining", "c:draining").end(rpc, outcome, Role.UNTOLD, -1);
+            scene.list(true, "a:draining", "b:draining", "c:draining")
+                    .end(rpc, outcome, Role.UNTOLD, -1);
         }
         scene.pass(2_000);
-        assertThat(scene.asked.stream().filter(action -> action.startsWith("abort") || action.startsWith("push back")))
+        assertThat(
+                        scene.asked.stream()
+                                .filter(
+                                        action ->
+                                                action.startsWith("abort")
+                                                        || action.startsWith("push back")))
                 .containsExactly(end + " " + rpc.id);
     }
 
     @Test
     void aTokenedRpcThatMayHaveRunIsNotSentAgainAfterItsWindow() {
-        Scene scene = new Scene(HostChecks.NONE, false, Effect.TOKENED, 2).list(true, "a:primary", "b");
+        Scene scene =
+                new Scene(HostChecks.NONE, false, Effect.TOKENED, 2).list(true, "a:primary", "b");
         Rpc rpc = scene.arrive(Scene.WRITE);
         scene.pass(1_000).end(rpc, Outcome.BROKEN, Role.UNTOLD, -1).pass(900);
         assertThat(rpc.callOuts).hasSize(1);
@@ -121,7 +159,9 @@
         for (int i = 0; i < 8; i++) {
             scene.arrive(Scene.ANY);
         }
-        assertThat(scene.asked).anyMatch(action -> action.endsWith(" c")).noneMatch(action -> action.endsWith(" b"));
+        assertThat(scene.asked)
+                .anyMatch(action -> action.endsWith(" c"))
+                .noneMatch(action -> action.endsWith(" b"));
     }
 
     @Test
@@ -135,7 +175,8 @@
     @ParameterizedTest(name = "{0} routers: at most {1} sends to a cold host in any second")
     @CsvSource({"2, 3", "10, 1", "30, 1"})
     void aColdHostIsSentOurPartOfItsBudgetInAnyWindow(int routers, int most) {
-        Scene scene = new Scene(HostChecks.NONE, true, Effect.TOKENED, routers).list(true, "a:cold");
+        Scene scene =
+                new Scene(HostChecks.NONE, true, Effect.TOKENED, routers).list(true, "a:cold");
         List<Long> sends = new ArrayList<>();
         for (int i = 0; i < 400; i++) {
             Rpc rpc = scene.arrive(Scene.ANY);
@@ -146,7 +187,8 @@
             }
         }
         for (long from : sends) {
-            assertThat(sends.stream().filter(at -> at >= from && at < from + 1_000).count()).isLessThanOrEqualTo(most);
+            assertThat(sends.stream().filter(at -> at >= from && at < from + 1_000).count())
+                    .isLessThanOrEqualTo(most);
         }
         assertThat(sends.size()).isLessThanOrEqualTo(2 * most);
     }
@@ -167,7 +209,12 @@
         for (int i = 0; i < 5; i++) {
             scene.end(scene.arrive(Scene.ANY), Outcome.OK, Role.REPLICA, 0);
         }
-        assertThat(scene.asked.stream().filter(action -> action.endsWith(" " + silent) && action.startsWith("send")))
+        assertThat(
+                        scene.asked.stream()
+                                .filter(
+                                        action ->
+                                                action.endsWith(" " + silent)
+                                                        && action.startsWith("send")))
                 .hasSize(1);
     }
 
@@ -192,7 +239,13 @@
         Rpc stuck = scene.arrive(Scene.ANY);
         String silent = Scene.path(stuck);
         scene.othersAnswer(1_300);
-        scene.logic.ended(scene.now(), stuck.callOuts.get(0), outcome, false, Role.REPLICA, scene.now(),
+        scene.logic.ended(
+                scene.now(),
+                stuck.callOuts.get(0),
+                outcome,
+                false,
+                Role.REPLICA,
+                scene.now(),
                 scene.now().since(stuck.callOuts.get(0).sent));
         assertThat(scene.host(silent).suspect).isEqualTo(suspect);
     }
@@ -217,14 +270,21 @@
     void aLateListDoesNotOverruleAFresherAnswer(Role role, String primary) {
         Scene scene = scene(HostChecks.REFUSE).list(false, "c:gone");
         scene.end(scene.arrive(Scene.ANY), Outcome.OK, role, 0);
-        scene.end(scene.arrive(Scene.WRITE), Outcome.MISS, role == Role.PRIMARY ? Role.PRIMARY : Role.REPLICA, 0);
+        scene.end(
+                scene.arrive(Scene.WRITE),
+                Outcome.MISS,
+                role == Role.PRIMARY ? Role.PRIMARY : Role.REPLICA,
+                0);
         scene.list(false, "b:primary");
-        assertThat(scene.logic.group(1).primary).isEqualTo(primary == null ? null : scene.host(primary));
+        assertThat(scene.logic.group(1).primary)
+                .isEqualTo(primary == null ? null : scene.host(primary));
     }
 
     @Test
     void withNoKnownPrimaryAWriteTriesMembersInIdOrderThenWaitsForNews() {
-        Scene scene = new Scene(HostChecks.REFUSE, false, Effect.NON_IDEMPOTENT, 2).list(true, "c", "a", "b");
+        Scene scene =
+                new Scene(HostChecks.REFUSE, false, Effect.NON_IDEMPOTENT, 2)
+                        .list(true, "c", "a", "b");
         Rpc rpc = scene.arrive(Scene.WRITE);
         for (int i = 0; i < 3; i++) {
             scene.end(rpc, Outcome.MISS, Role.REPLICA, -1);
@@ -248,20 +308,23 @@
                 }
             }
         }
-        // Fewer than arrive in an answer's time, but never below four a host by all routers together.
+        // Fewer than arrive in an answer's time, but never below four a host by all routers
+        // together.
         assertThat(rpcs.stream().filter(rpc -> rpc.out > 0).count()).isBetween(4L, 12L);
         assertThat(scene.asked).anyMatch(action -> action.startsWith("push back"));
     }
 
     @Test
     void everyHeldRpcIsAnsweredOnceBeforeItsDeadline() {
-        Scene scene = new Scene(HostChecks.NONE, true, Effect.NON_IDEMPOTENT, 2).list(true, "a:gone");
+        Scene scene =
+                new Scene(HostChecks.NONE, true, Effect.NON_IDEMPOTENT, 2).list(true, "a:gone");
         List<Rpc> rpcs = new ArrayList<>();
         for (int method = Scene.WRITE; method <= Scene.ANY; method++) {
             rpcs.add(scene.arrive(method));
         }
         scene.pass(1_999);
-        assertThat(scene.asked.stream().filter(action -> action.startsWith("push back"))).hasSize(rpcs.size());
+        assertThat(scene.asked.stream().filter(action -> action.startsWith("push back")))
+                .hasSize(rpcs.size());
         assertThat(rpcs).allMatch(rpc -> rpc.stage == Stage.OVER);
     }
 
@@ -277,7 +340,10 @@
         assertThat(pool.out).isZero();
     }
 
-    /** Guards against a suspect primary that no read needs, and that so stays without writes for ever. */
+    /**
+     * Guards against a suspect primary that no read needs, and that so stays without writes for
+     * ever.
+     */
     @Test
     void aSuspectPrimaryIsTriedWithAReadThoughReplicasPass() {
         Scene scene = scene(HostChecks.NONE).list(true, "a:primary", "b");
@@ -307,7 +373,10 @@
         assertThat(List.of(older.out, newer.out)).isEqualTo(List.of(0, 1));
     }
 
-    /** A method that only slow hosts serve must not be given up unsent: it would never be timed again. */
+    /**
+     * A method that only slow hosts serve must not be given up unsent: it would never be timed
+     * again.
+     */
     @Test
     void aMethodWithSlowAnswersIsStillTried() {
         Scene scene = positions(900, 900);
@@ -323,12 +392,18 @@
         assertThat(Scene.path(next)).isEqualTo("a");
     }
 
-    /** A list that calls live hosts gone: only draining binds there, and writes and probes must go on too. */
+    /**
+     * A list that calls live hosts gone: only draining binds there, and writes and probes must go
+     * on too.
+     */
     @ParameterizedTest
     @CsvSource({"false, ", "true, a"})
-    void whereOnlyDrainingBindsAHostListedGoneIsStillUsed(boolean onlyDrainingBinds, String expected) {
-        Scene scene = new Scene(HostChecks.NONE, true, Effect.TOKENED, 2, onlyDrainingBinds)
-                .list(true, "a:primary", "b").list(true);
+    void whereOnlyDrainingBindsAHostListedGoneIsStillUsed(
+            boolean onlyDrainingBinds, String expected) {
+        Scene scene =
+                new Scene(HostChecks.NONE, true, Effect.TOKENED, 2, onlyDrainingBinds)
+                        .list(true, "a:primary", "b")
+                        .list(true);
         Rpc write = scene.arrive(Scene.WRITE);
         scene.pass(30);
         assertThat(Scene.path(write)).isEqualTo(expected == null ? "" : expected);
@@ -336,7 +411,10 @@
         assertThat(Scene.path(scene.arrive(Scene.ANY))).isEmpty();
     }
 
-    /** Hundreds of routers that each ask a silent host every quarter of a second cost more than they learn. */
+    /**
+     * Hundreds of routers that each ask a silent host every quarter of a second cost more than they
+     * learn.
+     */
     @Test
     void probesForNewsStayWithinTheirBudgetHoweverLongAHostIsSilent() {
         Scene scene = scene(HostChecks.REFUSE);
@@ -363,31 +441,40 @@
             assertThat(bad.stage).isEqualTo(Stage.OVER);
             scene.serve(4, Scene.ANY, 20);
         }
-        assertThat(List.of(scene.host("b"), scene.host("c"))).allMatch(host -> !scene.now().before(host.restUntil));
+        assertThat(List.of(scene.host("b"), scene.host("c")))
+                .allMatch(host -> !scene.now().before(host.restUntil));
     }
 
-    /** The last case guards against a host that was down and is back: it never was full of connections. */
-    @ParameterizedTest(name = "refused after {0} ms, probes answered {1}: connections given back {2}")
+    /**
+     * The last case guards against a host that was down and is back: it never was full of
+     * connections.
+     */
+    @ParameterizedTest(
+            name = "refused after {0} ms, probes answered {1}: connections given back {2}")
     @CsvSource({"1, true, true", "1, false, false", "250, true, false", "1, false true, false"})
-    void connectionsAreGivenBackWhereAHostThatRunsRefusesOne(long after, String answered, boolean given) {
+    void connectionsAreGivenBackWhereAHostThatRunsRefusesOne(
+            long after, String answered, boolean given) {
         Scene scene = scene(HostChecks.NONE);
         Rpc refused = scene.arrive(Scene.ANY);
         Host host = refused.callOuts.get(0).host;
         scene.pass(after).end(refused, Outcome.UNREACHED, Role.UNTOLD, -1);
         for (String runs : answered.split(" ")) {
-            scene.logic.probed(scene.now(), host, Boolean.parseBoolean(runs), Role.UNTOLD, Moment.NEVER);
+            scene.logic.probed(
+                    scene.now(), host, Boolean.parseBoolean(runs), Role.UNTOLD, Moment.NEVER);
         }
         assertThat(host.suspect).isEqualTo(!given);
         scene.serve(3, Scene.ANY, 20);
-        assertThat(scene.asked.stream().anyMatch(action -> action.startsWith("close"))).isEqualTo(given);
+        assertThat(scene.asked.stream().anyMatch(action -> action.startsWith("close")))
+                .isEqualTo(given);
     }
 
     /** Many small routers that each keep one call-out out hold more than the hosts can do. */
     @ParameterizedTest(name = "{0} routers: {1} to {2} of 40 RPCs sent")
     @CsvSource({"2, 30, 40", "200, 1, 12"})
     void aSmallPartOfAPoolIsKeptByResting(int routers, int least, int most) {
-        Scene scene = new Scene(HostChecks.REFUSE, false, Effect.NON_IDEMPOTENT, routers)
-                .list(true, "a:primary", "b", "c");
+        Scene scene =
+                new Scene(HostChecks.REFUSE, false, Effect.NON_IDEMPOTENT, routers)
+                        .list(true, "a:primary", "b", "c");
         int sent = 0;
         for (int i = 0; i < 40; i++) {
             Rpc rpc = scene.arrive(Scene.WRITE);
@@ -405,7 +492,9 @@
     @ParameterizedTest(name = "writes answered after {0} ms: read at the primary {1}")
     @CsvSource({"50, true", "1200, false"})
     void readsLeaveAStrainedPrimaryToTheWrites(long answered, boolean sent) {
-        Scene scene = new Scene(HostChecks.NONE, false, Effect.NON_IDEMPOTENT, 100).list(true, "a:primary", "b");
+        Scene scene =
+                new Scene(HostChecks.NONE, false, Effect.NON_IDEMPOTENT, 100)
+                        .list(true, "a:primary", "b");
         scene.serve(12, Scene.WRITE, answered).pass(15_000);
         Rpc read = scene.arrive(Scene.SESSION, 1);
         scene.pass(100);
@@ -414,7 +503,9 @@
 
     @Test
     void aNewPrimaryIsNotHeldToTheRoomOfTheLast() {
-        Scene scene = new Scene(HostChecks.NONE, false, Effect.NON_IDEMPOTENT, 100).list(true, "a:primary", "b");
+        Scene scene =
+                new Scene(HostChecks.NONE, false, Effect.NON_IDEMPOTENT, 100)
+                        .list(true, "a:primary", "b");
         scene.serve(8, Scene.WRITE, 2_000);
         Rpc held = scene.arrive(Scene.WRITE);
         assertThat(held.stage).isEqualTo(Stage.HELD);
@@ -422,7 +513,9 @@
         assertThat(Scene.path(held)).isEqualTo("b");
     }
 
-    /** A slow or lossy way to a zone shows in every host there, also in those not heard of for long. */
+    /**
+     * A slow or lossy way to a zone shows in every host there, also in those not heard of for long.
+     */
     @Test
     void hostsOfASlowZoneAreUsedLessUnseen() {
         Scene scene = scene(HostChecks.NONE).list(false, "far1", "far2", "far3");
@@ -436,12 +529,21 @@
         assertThat(far).isLessThan(20);
     }
 
-    /** Guards against a connection that takes long to come up: what held at the decision must hold at the write. */
-    @ParameterizedTest(name = "method {0} at a replica {1} ms behind, written {2} ms later, {3}: {4}")
+    /**
+     * Guards against a connection that takes long to come up: what held at the decision must hold
+     * at the write.
+     */
+    @ParameterizedTest(
+            name = "method {0} at a replica {1} ms behind, written {2} ms later, {3}: {4}")
     @CsvSource({
-        "3, 250, 10, ready, true", "3, 250, 100, ready, false", "4, 900, 100, ready, true",
-        "4, 10, 10, draining, false", "4, 10, 10, gone, false"})
-    void aSendIsAskedAboutAgainWhenItsConnectionIsUp(int method, long age, long later, String listing, boolean passes) {
+        "3, 250, 10, ready, true",
+        "3, 250, 100, ready, false",
+        "4, 900, 100, ready, true",
+        "4, 10, 10, draining, false",
+        "4, 10, 10, gone, false"
+    })
+    void aSendIsAskedAboutAgainWhenItsConnectionIsUp(
+            int method, long age, long later, String listing, boolean passes) {
         Scene scene = positions(age, age);
         Rpc rpc = scene.arrive(method);
         CallOut callOut = rpc.callOuts.get(0);
@@ -449,11 +551,23 @@
         assertThat(scene.logic.stillPasses(scene.now(), callOut)).isEqualTo(passes);
     }
 
-    /** Guards against a client that repeats, with little time left, being held until it is too late to try again. */
+    /**
+     * Guards against a client that repeats, with little time left, being held until it is too late
+     * to try again.
+     */
     @ParameterizedTest(name = "method {0}, waits {1} ms: given back between {2} and {3} ms")
-    @CsvSource({"3, 200, 60, 95", "3, 400, 160, 195", "3, 2000, 240, 460", "0, 400, 160, 195", "0, 2000, 960, 995"})
-    void whatNoHostHasSeenIsGivenBackBeforeHalfOfTheClientsTime(int method, long waits, long least, long most) {
-        Scene scene = new Scene(HostChecks.NONE, true, Effect.NON_IDEMPOTENT, 2).list(true, "a:draining", "b:draining");
+    @CsvSource({
+        "3, 200, 60, 95",
+        "3, 400, 160, 195",
+        "3, 2000, 240, 460",
+        "0, 400, 160, 195",
+        "0, 2000, 960, 995"
+    })
+    void whatNoHostHasSeenIsGivenBackBeforeHalfOfTheClientsTime(
+            int method, long waits, long least, long most) {
+        Scene scene =
+                new Scene(HostChecks.NONE, true, Effect.NON_IDEMPOTENT, 2)
+                        .list(true, "a:draining", "b:draining");
         Rpc rpc = scene.arrive(method, 0, waits);
         scene.pass(least);
         assertThat(rpc.stage).isEqualTo(Stage.HELD);
@@ -461,7 +575,10 @@
         assertThat(scene.asked).contains("push back " + rpc.id);
     }
 
-    /** Guards against a look that is not due yet at the last moment of a held RPC: it was answered by a guard, late. */
+    /**
+     * Guards against a look that is not due yet at the last moment of a held RPC: it was answered
+     * by a guard, late.
+     */
     @ParameterizedTest(name = "a client that waits {0} ms")
     @CsvSource({"300", "303", "306", "309"})
     void whatIsHeldIsAnsweredAtItsLastMomentWhetherALookIsDueOrNot(long waits) {
@@ -484,8 +601,11 @@
     /** Nanoseconds of looks at RPCs that wait for one cold group, the best of some rounds. */
     private static double costOfLooks(int hosts) {
         Scene scene = new Scene(HostChecks.NONE, false, Effect.IDEMPOTENT, 1_024);
-        scene.list(true, IntStream.range(0, hosts).mapToObj(i -> i < 6 ? "h" + i + ":cold" : "other" + i)
-                .toArray(String[]::new));
+        scene.list(
+                true,
+                IntStream.range(0, hosts)
+                        .mapToObj(i -> i < 6 ? "h" + i + ":cold" : "other" + i)
+                        .toArray(String[]::new));
         double best = Double.MAX_VALUE;
         for (int round = 0; round < 8; round++) {
             for (int i = 0; i < 60; i++) {
--- a/router/src/test/java/ironwind/Scene.java
+++ b/router/src/test/java/ironwind/Scene.java
@@ -20,7 +20,10 @@
 import java.util.List;
 import java.util.TreeMap;
 
-/** One router on a made-up deployment: brings events by the millisecond and notes what the module asks for. */
+/**
+ * One router on a made-up deployment: brings events by the millisecond and notes what the module
+ * asks for.
+ */
 final class Scene implements Outbound {
     static final int WRITE = 0;
     static final int FRESH = 1;
@@ -39,36 +42,80 @@
         this(checks, parallel, writes, routers, false);
     }
 
-    Scene(HostChecks checks, boolean parallel, Effect writes, int routers, boolean onlyDrainingBinds) {
+    Scene(
+            HostChecks checks,
+            boolean parallel,
+            Effect writes,
+            int routers,
+            boolean onlyDrainingBinds) {
         List<Method> methods = new ArrayList<>();
         for (Freshness freshness : Freshness.values()) {
             Effect effect = freshness == Freshness.WRITE ? writes : Effect.IDEMPOTENT;
-            methods.add(new Method(methods.size(), effect, freshness, Span.ofMillis(300), Span.ofMillis(500),
-                    Span.ofMillis(2_000), freshness == Freshness.WRITE ? 6 : 2, freshness == Freshness.WRITE ? 3 : 0,
-                    false, Span.ofMillis(1_000)));
+            methods.add(
+                    new Method(
+                            methods.size(),
+                            effect,
+                            freshness,
+                            Span.ofMillis(300),
+                            Span.ofMillis(500),
+                            Span.ofMillis(2_000),
+                            freshness == Freshness.WRITE ? 6 : 2,
+                            freshness == Freshness.WRITE ? 3 : 0,
+                            false,
+                            Span.ofMillis(1_000)));
         }
-        deployment = new Deployment(methods, List.of(new Customer(0, 0)), routers, Span.ofMillis(5), checks, true,
-                checks == HostChecks.REFUSE, false, true, parallel, 6, true,
-                Span.ofMillis(1_000), 0.01, 0.1, new Moment(0), onlyDrainingBinds, 0.2,
-                Span.ofMillis(10_000), 2, Span.ofMillis(1_000));
+        deployment =
+                new Deployment(
+                        methods,
+                        List.of(new Customer(0, 0)),
+                        routers,
+                        Span.ofMillis(5),
+                        checks,
+                        true,
+                        checks == HostChecks.REFUSE,
+                        false,
+                        true,
+                        parallel,
+                        6,
+                        true,
+                        Span.ofMillis(1_000),
+                        0.01,
+                        0.1,
+                        new Moment(0),
+                        onlyDrainingBinds,
+                        0.2,
+                        Span.ofMillis(10_000),
+                        2,
+                        Span.ofMillis(1_000));
         logic = new Logic(deployment, 7, this);
     }
 
     /**
-     * Entries are words such as {@code a}, {@code a:primary}, {@code a:draining}, {@code a:gone}, {@code a:cold}; names
-     * with {@code far} are of another zone, with {@code other} of another group.
+     * Entries are words such as {@code a}, {@code a:primary}, {@code a:draining}, {@code a:gone},
+     * {@code a:cold}; names with {@code far} are of another zone, with {@code other} of another
+     * group.
      */
     Scene list(boolean complete, String... entries) {
         List<RosterEntry> list = new ArrayList<>();
         for (String entry : entries) {
             String[] words = (entry + ":ready").split(":");
-            Listing listing = words[1].equals("draining") ? Listing.DRAINING
-                    : words[1].equals("gone") ? Listing.GONE : Listing.READY;
+            Listing listing =
+                    words[1].equals("draining")
+                            ? Listing.DRAINING
+                            : words[1].equals("gone") ? Listing.GONE : Listing.READY;
             Moment started = words[1].equals("cold") ? now() : Moment.NEVER;
             int zone = words[0].startsWith("far") ? 1 : 0;
             int group = words[0].startsWith("other") ? 2 : 1;
-            list.add(new RosterEntry(words[0], zone, 0, group, listing, 1, started,
-                    words[1].equals("primary")));
+            list.add(
+                    new RosterEntry(
+                            words[0],
+                            zone,
+                            0,
+                            group,
+                            listing,
+                            1,
+                            started,
+                            words[1].equals("primary")));
         }
         logic.listed(now(), complete, list);
         logic.settle(now());
@@ -81,7 +128,7 @@
 
     /** Moves on, waking the module whenever it asked for it. */
     Scene pass(long span) {
-        for (long until = ms + span; ms < until;) {
+        for (long until = ms + span; ms < until; ) {
             ms++;
             if (!wakes.isEmpty() && wakes.firstKey() <= ms * 1_000) {
                 wakes.pollFirstEntry();
@@ -101,8 +148,17 @@
 
     Rpc arrive(int method, long tokenAge, long waits) {
         Moment token = tokenAge == 0 ? Moment.NEVER : now().minus(Span.ofMillis(tokenAge));
-        Rpc rpc = new Rpc("r" + count++, deployment.methods().get(method), deployment.customers().get(0),
-                logic.group(1), "s", now(), now().plus(Span.ofMillis(waits)), token, false);
+        Rpc rpc =
+                new Rpc(
+                        "r" + count++,
+                        deployment.methods().get(method),
+                        deployment.customers().get(0),
+                        logic.group(1),
+                        "s",
+                        now(),
+                        now().plus(Span.ofMillis(waits)),
+                        token,
+                        false);
         logic.arrived(now(), rpc);
         logic.settle(now());
         return rpc;
--- a/router/src/test/java/ironwind/adapter/AdapterTest.java
+++ b/router/src/test/java/ironwind/adapter/AdapterTest.java
@@ -11,10 +11,11 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 class AdapterTest {
-    private static final String START = "SPAWN\trouter=3\tentropy=1\tcaps.most_tries=3\textra.read_level=loose"
-            + "\tlanes.count=1\tlanes.0.effect=retryable\tlanes.0.deadline_us=1000000\tpeers_total=1\tnews=1\n"
-            + "DEFINE_LIST\tref=0\telements=1\nITEM\thost=10.0.0.1:1\tshard=4\n"
-            + "ROSTER_CHANGE\trouter=3\tscope=0\trevision=1\tref=0\n";
+    private static final String START =
+            "SPAWN\trouter=3\tentropy=1\tcaps.most_tries=3\textra.read_level=loose"
+                    + "\tlanes.count=1\tlanes.0.effect=retryable\tlanes.0.deadline_us=1000000\tpeers_total=1\tnews=1\n"
+                    + "DEFINE_LIST\tref=0\telements=1\nITEM\thost=10.0.0.1:1\tshard=4\n"
+                    + "ROSTER_CHANGE\trouter=3\tscope=0\trevision=1\tref=0\n";
     private static final String CALL = "CALL\trouter=3\ttxn=00000000000000aa\tlane=0\tcluster=4\n";
 
     private final StringBuilder errors = new StringBuilder();
@@ -23,7 +24,10 @@
     private String play(String... batches) throws IOException {
         StringBuilder input = new StringBuilder();
         for (int i = 0; i < batches.length; i++) {
-            input.append("FRAME\tclock_us=").append(1_000_000 + 5_000 * i).append('\n').append(batches[i])
+            input.append("FRAME\tclock_us=")
+                    .append(1_000_000 + 5_000 * i)
+                    .append('\n')
+                    .append(batches[i])
                     .append("OVER_TO_YOU\n\n");
         }
         ByteArrayOutputStream out = new ByteArrayOutputStream();
@@ -40,10 +44,16 @@
 
     @Test
     void aCallIsHandedOffAndItsVerdictEndsIt() throws IOException {
-        String verdict = "VERDICT\trouter=3\ttxn=00000000000000aa\tseq_no=0\thost=10.0.0.1:1"
-                + "\tcode=delivered\tfinal=1\n";
-        String reply = play(START + CALL, verdict, verdict + "CLIENT_LEFT\trouter=3\ttxn=00000000000000aa\n");
-        assertThat(reply).containsOnlyOnce("HAND_OFF\trouter=3\ttxn=00000000000000aa\thost=10.0.0.1:1");
+        String verdict =
+                "VERDICT\trouter=3\ttxn=00000000000000aa\tseq_no=0\thost=10.0.0.1:1"
+                        + "\tcode=delivered\tfinal=1\n";
+        String reply =
+                play(
+                        START + CALL,
+                        verdict,
+                        verdict + "CLIENT_LEFT\trouter=3\ttxn=00000000000000aa\n");
+        assertThat(reply)
+                .containsOnlyOnce("HAND_OFF\trouter=3\ttxn=00000000000000aa\thost=10.0.0.1:1");
         assertThat(reply).doesNotContain("DECLINE", "END_FAILED", "INTERNAL_ERROR");
         assertThat(code).isZero();
     }
@@ -54,16 +64,19 @@
     }
 
     @ParameterizedTest(name = "{0}: {1}")
-    @CsvSource(delimiter = '|', value = {
-        "CALL router=3 lane=0 cluster=4 | field 'txn' is missing",
-        "CALL router=3 txn=aa lane=7 cluster=4 | field 'lane' is out of range: 7",
-        "CALL router=x txn=aa | field 'router' is not a whole number: x",
-        "CALL router=9 txn=aa | field 'router' names no running instance: 9",
-        "VERDICT router=3 txn=aa seq_no=0 code=maybe | field 'code' has an unknown word: maybe",
-        "ROSTER_CHANGE router=3 scope=2 ref=5 | field 'ref' names no list",
-        "DEFINE_LIST ref=0 elements=2 | field 'elements' promises 2 ITEM lines, 0 came",
-        "PING_RESULT router=3 host=h code=delivered usage=x0 | field 'usage' is no list of name:value pairs: x0",
-        "NONSENSE router=3 | field 'name' is no message of this wire: NONSENSE"})
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "CALL router=3 lane=0 cluster=4 | field 'txn' is missing",
+                "CALL router=3 txn=aa lane=7 cluster=4 | field 'lane' is out of range: 7",
+                "CALL router=x txn=aa | field 'router' is not a whole number: x",
+                "CALL router=9 txn=aa | field 'router' names no running instance: 9",
+                "VERDICT router=3 txn=aa seq_no=0 code=maybe | field 'code' has an unknown word: maybe",
+                "ROSTER_CHANGE router=3 scope=2 ref=5 | field 'ref' names no list",
+                "DEFINE_LIST ref=0 elements=2 | field 'elements' promises 2 ITEM lines, 0 came",
+                "PING_RESULT router=3 host=h code=delivered usage=x0 | field 'usage' is no list of name:value pairs: x0",
+                "NONSENSE router=3 | field 'name' is no message of this wire: NONSENSE"
+            })
     void malformedLinesAreToldByLineAndField(String line, String message) throws IOException {
         play(START + line.replace(' ', '\t') + "\n");
         assertThat(errors.toString()).startsWith("ironwind: line ").contains(message);
--- a/router/src/test/java/ironwind/adapter/StartFactsTest.java
+++ b/router/src/test/java/ironwind/adapter/StartFactsTest.java
@@ -14,17 +14,20 @@
 
 /** The same settings through both doors. */
 class StartFactsTest {
-    private static final String LINE = ("SPAWN caps.cancel=true caps.connect_timeout_us=250000 "
-            + "caps.idle_close_us=30000000 caps.most_tries=10 "
-            + "caps.parallel_tries=true extra.lag_allowed_us=300000,0 extra.read_level=recent,update "
-            + "extra.when_behind=reject lanes.count=2 lanes.0.deadline_us=1500000 lanes.0.effect=retryable "
-            + "lanes.0.goal_time_us=400000 lanes.0.late_worth=0.2 lanes.0.name=lobby lanes.0.worth=3.0 "
-            + "lanes.1.deadline_us=3000000 lanes.1.effect=dedup lanes.1.key_scope=cell lanes.1.name=move "
-            + "lanes.1.window_us=2000000 lanes.1.worth=6.0 peers_total=2 period_us=5000 prices.probe=0.01 "
-            + "reporting.fields=x0,util reporting.via=inline rules.cold_from=0.25 rules.fall_multiple=4.0 "
-            + "rules.soft_removal=true tenants.count=1 tenants.0.name=chess tenants.0.quota_per_s=102.0 "
-            + "kinds=std-4core zones=auckland,hamilton").replace(' ', '\t');
-    private static final String JSON = """
+    private static final String LINE =
+            ("SPAWN caps.cancel=true caps.connect_timeout_us=250000 "
+                            + "caps.idle_close_us=30000000 caps.most_tries=10 "
+                            + "caps.parallel_tries=true extra.lag_allowed_us=300000,0 extra.read_level=recent,update "
+                            + "extra.when_behind=reject lanes.count=2 lanes.0.deadline_us=1500000 lanes.0.effect=retryable "
+                            + "lanes.0.goal_time_us=400000 lanes.0.late_worth=0.2 lanes.0.name=lobby lanes.0.worth=3.0 "
+                            + "lanes.1.deadline_us=3000000 lanes.1.effect=dedup lanes.1.key_scope=cell lanes.1.name=move "
+                            + "lanes.1.window_us=2000000 lanes.1.worth=6.0 peers_total=2 period_us=5000 prices.probe=0.01 "
+                            + "reporting.fields=x0,util reporting.via=inline rules.cold_from=0.25 rules.fall_multiple=4.0 "
+                            + "rules.soft_removal=true tenants.count=1 tenants.0.name=chess tenants.0.quota_per_s=102.0 "
+                            + "kinds=std-4core zones=auckland,hamilton")
+                    .replace(' ', '\t');
+    private static final String JSON =
+            """
         {"name": "n3", "listen": "127.0.0.4:5432", "discovery": "127.2.0.1:8500", "seed": "ffffffffffffffff",
          "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024}, "known": {"version": 41, "servers": []},
          "settings": {
@@ -48,7 +51,8 @@
         assertThat(facts.deployment()).isEqualTo(DeploymentReader.read(new Line(LINE, 1)));
         assertThat(facts.deployment().methods()).hasSize(2);
         assertThat(facts.deployment().probesTellPosition()).isTrue();
-        assertThat(facts.names().methods().get("move").repeatWindow()).isEqualTo(Span.ofMillis(2_000));
+        assertThat(facts.names().methods().get("move").repeatWindow())
+                .isEqualTo(Span.ofMillis(2_000));
         assertThat(facts.names().customers().get("chess").quotaPerSecond()).isEqualTo(102);
         assertThat(facts.names().zones()).containsExactly("auckland", "hamilton");
         assertThat(facts.seed()).isEqualTo(-1);
@@ -57,15 +61,19 @@
     }
 
     @ParameterizedTest(name = "{0} -> {1}: {2}")
-    @CsvSource(delimiter = '|', value = {
-        "\"name\": \"n3\" | \"nome\": \"n3\" | configuration.name is missing",
-        "127.0.0.4:5432 | 127.0.0.4 | '127.0.0.4' is no address and port",
-        "ffffffffffffffff | seed | configuration.seed is no hexadecimal number of 64 bits",
-        "\"known\" | \"unknown\" | configuration.known is missing",
-        "retryable | risky | settings.lanes.0.effect has an unknown word: risky",
-        "250000 | \"soon\" | settings.caps.connect_timeout_us is not a whole number: soon"})
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "\"name\": \"n3\" | \"nome\": \"n3\" | configuration.name is missing",
+                "127.0.0.4:5432 | 127.0.0.4 | '127.0.0.4' is no address and port",
+                "ffffffffffffffff | seed | configuration.seed is no hexadecimal number of 64 bits",
+                "\"known\" | \"unknown\" | configuration.known is missing",
+                "retryable | risky | settings.lanes.0.effect has an unknown word: risky",
+                "250000 | \"soon\" | settings.caps.connect_timeout_us is not a whole number: soon"
+            })
     void whatIsMissingOrMalformedIsTold(String from, String to, String message) {
         assertThatThrownBy(() -> StartFacts.read(new JsonObject(JSON.replace(from, to))))
-                .isInstanceOf(StartFault.class).hasMessage(message);
+                .isInstanceOf(StartFault.class)
+                .hasMessage(message);
     }
 }
--- a/router/src/test/java/ironwind/idle/KeeperTest.java
+++ b/router/src/test/java/ironwind/idle/KeeperTest.java
@@ -22,14 +22,33 @@
     private static final int OF_CUSTOMER = 2;
     private static final Limits LIMITS = limits(MOST, OF_ADDRESS, OF_CUSTOMER, 0, 0);
 
-    static Limits limits(int connections, int perAddress, int perCustomer, int newPerSecond, int newAtOnce) {
-        return new Limits(connections, perAddress, perCustomer, newPerSecond, newAtOnce, Span.ofMillis(20),
-                Span.ofMillis(30), Span.ofMillis(40), Span.ofMillis(90), Span.ofMillis(50), 0.5, 1_000, 100, 400,
-                Span.ofMillis(100), 4, Span.ofMillis(1), Span.ofMillis(50), Span.ofMillis(60), Span.ZERO, 0);
+    static Limits limits(
+            int connections, int perAddress, int perCustomer, int newPerSecond, int newAtOnce) {
+        return new Limits(
+                connections,
+                perAddress,
+                perCustomer,
+                newPerSecond,
+                newAtOnce,
+                Span.ofMillis(20),
+                Span.ofMillis(30),
+                Span.ofMillis(40),
+                Span.ofMillis(90),
+                Span.ofMillis(50),
+                0.5,
+                1_000,
+                100,
+                400,
+                Span.ofMillis(100),
+                4,
+                Span.ofMillis(1),
+                Span.ofMillis(50),
+                Span.ofMillis(60),
+                Span.ZERO,
+                0);
     }
 
-    static final class Bare extends Peer {
-    }
+    static final class Bare extends Peer {}
 
     /** What a model knows of one connection. */
     private static final class Known {
@@ -37,8 +56,10 @@
         private final String address;
         private Standing standing = Standing.STRANGER;
         private long since;
+
         /** Orders those that came to their standing at one time. */
         private long order;
+
         private String customer;
 
         private Known(String address) {
@@ -46,14 +67,19 @@
         }
     }
 
-    private record Step(int kind, int which, int standing, long passes) {
-    }
+    private record Step(int kind, int which, int standing, long passes) {}
 
     @Provide
     Arbitrary<List<Step>> steps() {
-        return Combinators.combine(Arbitraries.integers().between(0, 5), Arbitraries.integers().between(0, 9),
-                Arbitraries.integers().between(0, Standing.values().length - 1),
-                Arbitraries.longs().between(0, 30_000)).as(Step::new).list().ofMinSize(1).ofMaxSize(120);
+        return Combinators.combine(
+                        Arbitraries.integers().between(0, 5),
+                        Arbitraries.integers().between(0, 9),
+                        Arbitraries.integers().between(0, Standing.values().length - 1),
+                        Arbitraries.longs().between(0, 30_000))
+                .as(Step::new)
+                .list()
+                .ofMinSize(1)
+                .ofMaxSize(120);
     }
 
     private final List<Known> inside = new ArrayList<>();
@@ -68,13 +94,18 @@
             now += step.passes;
             act(keeper, step, now);
             for (Standing standing : Standing.values()) {
-                assertThat(keeper.standing(standing)).isEqualTo(inside.stream()
-                        .filter(known -> known.standing == standing).count());
+                assertThat(keeper.standing(standing))
+                        .isEqualTo(
+                                inside.stream()
+                                        .filter(known -> known.standing == standing)
+                                        .count());
             }
             assertThat(keeper.inside()).isEqualTo(inside.size());
-            assertThat(keeper.addresses()).isEqualTo(inside.stream().map(known -> known.address).distinct().count());
+            assertThat(keeper.addresses())
+                    .isEqualTo(inside.stream().map(known -> known.address).distinct().count());
             Known least = leastKnown();
-            assertThat(keeper.toGiveWay()).isSameAs(inside.size() < MOST || least == null ? null : least.peer);
+            assertThat(keeper.toGiveWay())
+                    .isSameAs(inside.size() < MOST || least == null ? null : least.peer);
             checkDue(keeper, now);
         }
     }
@@ -83,8 +114,12 @@
         if (step.kind <= 1) {
             String address = "a" + step.which % 4;
             long same = inside.stream().filter(known -> known.address.equals(address)).count();
-            Reason expected = same >= OF_ADDRESS ? Reason.ADDRESS_FULL
-                    : inside.size() >= MOST && leastKnown() == null ? Reason.ALL_BUSY : null;
+            Reason expected =
+                    same >= OF_ADDRESS
+                            ? Reason.ADDRESS_FULL
+                            : inside.size() >= MOST && leastKnown() == null
+                                    ? Reason.ALL_BUSY
+                                    : null;
             assertThat(keeper.refusal(address)).isEqualTo(expected);
             if (expected == null) {
                 Known known = new Known(address);
@@ -123,35 +158,55 @@
     }
 
     private Peer overCustomer(String customer) {
-        List<Known> all = inside.stream().filter(known -> customer != null && customer.equals(known.customer)).toList();
-        return all.size() <= OF_CUSTOMER ? null : all.stream().filter(known -> known.standing == Standing.SERVED)
-                .filter(known -> stoodAsCustomers(known)).min(Comparator.comparingLong(known -> known.order))
-                .map(known -> known.peer).orElse(null);
+        List<Known> all =
+                inside.stream()
+                        .filter(known -> customer != null && customer.equals(known.customer))
+                        .toList();
+        return all.size() <= OF_CUSTOMER
+                ? null
+                : all.stream()
+                        .filter(known -> known.standing == Standing.SERVED)
+                        .filter(known -> stoodAsCustomers(known))
+                        .min(Comparator.comparingLong(known -> known.order))
+                        .map(known -> known.peer)
+                        .orElse(null);
     }
 
-    /** It counts as idle for its customer once it has come to be served on the customer's behalf. */
+    /**
+     * It counts as idle for its customer once it has come to be served on the customer's behalf.
+     */
     private boolean stoodAsCustomers(Known known) {
         return known.peer.amongIdle != null;
     }
 
     private Known leastKnown() {
-        return inside.stream().filter(known -> known.standing.compareTo(Standing.HALFWAY) < 0)
-                .min(Comparator.comparing((Known known) -> known.standing).thenComparing(known -> known.order))
+        return inside.stream()
+                .filter(known -> known.standing.compareTo(Standing.HALFWAY) < 0)
+                .min(
+                        Comparator.comparing((Known known) -> known.standing)
+                                .thenComparing(known -> known.order))
                 .orElse(null);
     }
 
     private void checkDue(Keeper keeper, long now) {
-        List<Peer> due = inside.stream().filter(known -> {
-            long patience = switch (known.standing) {
-                case PARTING -> 300_000;
-                case STRANGER -> 20_000;
-                case HALFWAY -> 30_000;
-                case GREETED -> 40_000;
-                case SERVED -> inside.size() > MOST / 2 ? 50_000 : 90_000;
-                case BUSY -> Long.MAX_VALUE;
-            };
-            return now - known.since > patience;
-        }).map(known -> known.peer).toList();
+        List<Peer> due =
+                inside.stream()
+                        .filter(
+                                known -> {
+                                    long patience =
+                                            switch (known.standing) {
+                                                case PARTING -> 300_000;
+                                                case STRANGER -> 20_000;
+                                                case HALFWAY -> 30_000;
+                                                case GREETED -> 40_000;
+                                                case SERVED ->
+                                                        inside.size() > MOST / 2 ? 50_000 : 90_000;
+                                                case BUSY -> Long.MAX_VALUE;
+                                            };
+                                    return now - known.since > patience;
+                                })
+                        .map(known -> known.peer)
+                        .toList();
         Peer told = keeper.due(now);
         if (due.isEmpty()) {
             assertThat(told).isNull();
--- a/router/src/test/java/ironwind/idle/TurnsTest.java
+++ b/router/src/test/java/ironwind/idle/TurnsTest.java
@@ -35,13 +35,24 @@
         return peer;
     }
 
-    /** Limits: turn 1 ms, active 60 ms, open RPCs 4, memory 1000 of which 750 for what is new; now is 100 ms. */
+    /**
+     * Limits: turn 1 ms, active 60 ms, open RPCs 4, memory 1000 of which 750 for what is new; now
+     * is 100 ms.
+     */
     @ParameterizedTest(name = "{0}, answered at {1} us, {2} open, {3} bytes lent, others wait: {4}")
-    @CsvSource({"SERVED, 99000, 9, 900, true, true", "SERVED, 30000, 0, 0, false, true",
-        "SERVED, 30000, 0, 0, true, false", "SERVED, 30000, 4, 0, false, false", "SERVED, 30000, 0, 800, false, true",
-        "STRANGER, 0, 0, 0, false, true", "STRANGER, 0, 0, 0, true, false", "HALFWAY, 0, 9, 900, true, true",
-        "BUSY, 0, 9, 900, true, true"})
-    void whoIsReadAtOnce(Standing standing, long servedAt, int open, long lent, boolean others, boolean atOnce) {
+    @CsvSource({
+        "SERVED, 99000, 9, 900, true, true",
+        "SERVED, 30000, 0, 0, false, true",
+        "SERVED, 30000, 0, 0, true, false",
+        "SERVED, 30000, 4, 0, false, false",
+        "SERVED, 30000, 0, 800, false, true",
+        "STRANGER, 0, 0, 0, false, true",
+        "STRANGER, 0, 0, 0, true, false",
+        "HALFWAY, 0, 9, 900, true, true",
+        "BUSY, 0, 9, 900, true, true"
+    })
+    void whoIsReadAtOnce(
+            Standing standing, long servedAt, int open, long lent, boolean others, boolean atOnce) {
         budget.force(Use.OPEN, lent);
         if (others) {
             turns.begin(0);
@@ -67,7 +78,9 @@
         for (long turn = 2_000; turns.anyWaits(); turn += 1_000) {
             turns.begin(turn);
             int inTurn = 0;
-            for (Peer next = turns.next(turn, 0); next != null; next = turns.next(turn + 100L * inTurn, 0)) {
+            for (Peer next = turns.next(turn, 0);
+                    next != null;
+                    next = turns.next(turn + 100L * inTurn, 0)) {
                 read.add(next);
                 inTurn++;
             }
@@ -76,7 +89,10 @@
         assertThat(read).isEqualTo(crowd);
     }
 
-    /** Guards against a crowd that waits out its deadlines behind RPCs that it can't be served beside. */
+    /**
+     * Guards against a crowd that waits out its deadlines behind RPCs that it can't be served
+     * beside.
+     */
     @Test
     void whoWaitedTooLongIsReadToBePushedBack() {
         turns.begin(0);
@@ -96,10 +112,12 @@
         assertThat(turns.pushesBack(Span.ZERO, 751)).isTrue();
     }
 
-    private record Owed(Peer peer, long[] bytes, long[] tookAt) {
-    }
+    private record Owed(Peer peer, long[] bytes, long[] tookAt) {}
 
-    /** The first that is due is always the one that has taken nothing for longest, as a plain queue has it. */
+    /**
+     * The first that is due is always the one that has taken nothing for longest, as a plain queue
+     * has it.
+     */
     @Property(tries = 300, seed = "20261202")
     void debtorsStandInTheOrderInWhichTheyLastTook(
             @ForAll @Size(max = 80) List<@IntRange(min = 0, max = 299) Integer> steps) {
@@ -138,7 +156,8 @@
             assertThat(own.lent(Use.OWED)).isEqualTo(sum);
             boolean due = !queue.isEmpty() && (sum > 400 || now - queue.peek().tookAt[0] > 100_000);
             assertThat(all.due(now)).isSameAs(due ? queue.peek().peer : null);
-            assertThat(all.whyDue()).isEqualTo(sum > 400 ? Reason.OWED_TOO_MUCH : Reason.SLOW_READER);
+            assertThat(all.whyDue())
+                    .isEqualTo(sum > 400 ? Reason.OWED_TOO_MUCH : Reason.SLOW_READER);
             assertThat(all.size()).isEqualTo(queue.size());
             assertThat(all.ahead(client.peer)).isEqualTo(client.bytes[0] > 100);
         }
@@ -157,10 +176,14 @@
         assertThat(budget.lend(Use.INCOMING, -700)).isTrue();
         assertThat(budget.refused(Use.MAKING)).isEqualTo(1);
         assertThat(budget.highest()).isEqualTo(1_050);
-        assertThatThrownBy(() -> budget.back(Use.MAKING, 301)).isInstanceOf(IllegalStateException.class);
+        assertThatThrownBy(() -> budget.back(Use.MAKING, 301))
+                .isInstanceOf(IllegalStateException.class);
     }
 
-    /** Guards against all connections being taken for silent after the clock has jumped or the process has stood. */
+    /**
+     * Guards against all connections being taken for silent after the clock has jumped or the
+     * process has stood.
+     */
     @ParameterizedTest(name = "a clock that jumps by {0} us tells {1} more, with {2} left out")
     @CsvSource({"1000, 1000, 0", "0, 0, 0", "-60000000, 0, 0", "60000000, 500000, 59500000"})
     void theSteadyTimeNeitherJumpsNorGoesBack(long jump, long told, long leftOut) {
--- a/router/src/test/java/ironwind/net/EndingTest.java
+++ b/router/src/test/java/ironwind/net/EndingTest.java
@@ -14,10 +14,20 @@
     /** The protocol's table of outcomes: what must never run twice hangs on the last column. */
     @ParameterizedTest(name = "{0}: {1}, has run: {2}")
     @CsvSource({
-        "SERVED, OK, maybe", "MISSED, MISS, never", "FAILED, ERROR, maybe", "TURNED_AWAY, FULL, never",
-        "REFUSED, UNREACHED, never", "NEVER_UP, UNREACHED, never", "BROKE_UNWRITTEN, UNREACHED, never",
-        "NO_SOCKET, UNREACHED, never", "BROKE_WRITTEN, BROKEN, maybe", "GARBLED, BROKEN, maybe",
-        "TIMED_OUT, EXPIRED, maybe", "CALLED_OFF, CANCELLED, maybe", "LAPSED, UNSENT, never"})
+        "SERVED, OK, maybe",
+        "MISSED, MISS, never",
+        "FAILED, ERROR, maybe",
+        "TURNED_AWAY, FULL, never",
+        "REFUSED, UNREACHED, never",
+        "NEVER_UP, UNREACHED, never",
+        "BROKE_UNWRITTEN, UNREACHED, never",
+        "NO_SOCKET, UNREACHED, never",
+        "BROKE_WRITTEN, BROKEN, maybe",
+        "GARBLED, BROKEN, maybe",
+        "TIMED_OUT, EXPIRED, maybe",
+        "CALLED_OFF, CANCELLED, maybe",
+        "LAPSED, UNSENT, never"
+    })
     void eachEndingHasItsOutcome(Ending ending, Outcome outcome, String hasRun) {
         assertThat(ending.outcome()).isEqualTo(outcome);
         assertThat(ending.outcome().provesUnrun).isEqualTo(hasRun.equals("never"));
@@ -31,13 +41,25 @@
                 none.add(ending);
             }
         }
-        assertThat(none).containsExactly(Ending.IDLE_CLOSED, Ending.CLOSED_BY_HOST, Ending.SURPLUS,
-                Ending.CLIENT_LEFT, Ending.CLIENT_DISMISSED, Ending.CLIENT_MALFORMED);
+        assertThat(none)
+                .containsExactly(
+                        Ending.IDLE_CLOSED,
+                        Ending.CLOSED_BY_HOST,
+                        Ending.SURPLUS,
+                        Ending.CLIENT_LEFT,
+                        Ending.CLIENT_DISMISSED,
+                        Ending.CLIENT_MALFORMED);
     }
 
     @ParameterizedTest(name = "{0}: {1}")
-    @CsvSource({"25006, MISSED", "72000, MISSED", "XX000, FAILED", "53300, TURNED_AWAY", "57P03, TURNED_AWAY",
-        "08P01, FAILED"})
+    @CsvSource({
+        "25006, MISSED",
+        "72000, MISSED",
+        "XX000, FAILED",
+        "53300, TURNED_AWAY",
+        "57P03, TURNED_AWAY",
+        "08P01, FAILED"
+    })
     void errorsAreToldBySqlstate(String code, Ending ending) {
         assertThat(Ending.of(new Failure(code, "", null))).isEqualTo(ending);
     }
--- a/router/src/test/java/ironwind/net/HostWordTest.java
+++ b/router/src/test/java/ironwind/net/HostWordTest.java
@@ -12,32 +12,50 @@
 class HostWordTest {
     private static final Moment NOW = Moment.ofMillis(1767225600124L);
 
-    /** Guards against a position that is rounded up, by reading or by arithmetic, or made of nonsense. */
+    /**
+     * Guards against a position that is rounded up, by reading or by arithmetic, or made of
+     * nonsense.
+     */
     @ParameterizedTest(name = "applied_ms {0}, role {1}: {2}, {3}")
     @CsvSource({
-        "1767225600123, primary, 1767225600123000, PRIMARY", "1767225600123.9999, replica, 1767225600123999, REPLICA",
-        "0, replica, , REPLICA", "-5, x, , UNTOLD", "soon, , , UNTOLD", ", primary, , PRIMARY",
-        "1e400000000, primary, , PRIMARY", "1e-400000000, primary, , PRIMARY",
-        "NaN, primary, , PRIMARY", "1767225600125, primary, 1767225600125000, PRIMARY",
-        "1767225600126, primary, , PRIMARY"})
-    void positionAndRoleComeFromTheParameters(String applied, String role, Long position, Role told) {
+        "1767225600123, primary, 1767225600123000, PRIMARY",
+        "1767225600123.9999, replica, 1767225600123999, REPLICA",
+        "0, replica, , REPLICA",
+        "-5, x, , UNTOLD",
+        "soon, , , UNTOLD",
+        ", primary, , PRIMARY",
+        "1e400000000, primary, , PRIMARY",
+        "1e-400000000, primary, , PRIMARY",
+        "NaN, primary, , PRIMARY",
+        "1767225600125, primary, 1767225600125000, PRIMARY",
+        "1767225600126, primary, , PRIMARY"
+    })
+    void positionAndRoleComeFromTheParameters(
+            String applied, String role, Long position, Role told) {
         HostWord word = new HostWord();
         word.hear(new HostMessage.Parameter("applied_ms", applied == null ? "" : applied));
         word.hear(new HostMessage.Parameter("role", role == null ? "" : role));
-        assertThat(word.position(NOW)).isEqualTo(position == null ? Moment.NEVER : new Moment(position));
+        assertThat(word.position(NOW))
+                .isEqualTo(position == null ? Moment.NEVER : new Moment(position));
         assertThat(word.role()).isEqualTo(told);
     }
 
     @ParameterizedTest(name = "{0}: {1}, {2}")
-    @CsvSource(delimiter = '|', value = {
-        "inflight=7,x0=1767225600.1239999,x1=1 | 1767225600123999 | PRIMARY",
-        "x1=0.0,x0=1767225600 | 1767225600000000 | REPLICA", "util=0.61 | | UNTOLD", "x0,x1=,x00=5 | | UNTOLD"})
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "inflight=7,x0=1767225600.1239999,x1=1 | 1767225600123999 | PRIMARY",
+                "x1=0.0,x0=1767225600 | 1767225600000000 | REPLICA",
+                "util=0.61 | | UNTOLD",
+                "x0,x1=,x00=5 | | UNTOLD"
+            })
     void positionAndRoleOfAReportComeFromItsRow(String report, Long position, Role told) {
         Row row = Row.ofText("load", report);
         HostWord word = new HostWord();
         word.hear(new HostMessage.Description(row.description()));
         word.hear(new HostMessage.Data(row.data()));
-        assertThat(word.reportedPosition(NOW)).isEqualTo(position == null ? Moment.NEVER : new Moment(position));
+        assertThat(word.reportedPosition(NOW))
+                .isEqualTo(position == null ? Moment.NEVER : new Moment(position));
         assertThat(word.reportedRole()).isEqualTo(told);
     }
 }
--- a/router/src/test/java/ironwind/net/LogTest.java
+++ b/router/src/test/java/ironwind/net/LogTest.java
@@ -18,20 +18,31 @@
     private final Log log = new Log(new PrintStream(lines, true), () -> now);
 
     @ParameterizedTest(name = "{0}: {1}")
-    @CsvSource(quoteCharacter = '`', value = {"plain, plain", "two words, \"two words\"", "a=b, \"a=b\"",
-        "say \"no\", \"say \\\"no\\\"\"", "``, \"\""})
+    @CsvSource(
+            quoteCharacter = '`',
+            value = {
+                "plain, plain",
+                "two words, \"two words\"",
+                "a=b, \"a=b\"",
+                "say \"no\", \"say \\\"no\\\"\"",
+                "``, \"\""
+            })
     void valuesAreQuotedWhereTheyMustBe(String value, String written) {
         log.info("event", "key", value, "count", 3);
-        assertThat(lines.toString().strip()).isEqualTo("1970-01-01T00:00:00Z INFO event key=" + written + " count=3");
+        assertThat(lines.toString().strip())
+                .isEqualTo("1970-01-01T00:00:00Z INFO event key=" + written + " count=3");
     }
 
     /** Guards against a library's warning that takes a thread along where no file can be opened. */
     @Test
     void whatLibrariesLogIsAWarningLikeOthers() {
         log.withLibraries();
-        Logger.getLogger("io.netty.any").log(Level.WARNING, "Failed to accept", new IOException("Too many open files"));
-        assertThat(lines.toString()).contains("WARN library logger=io.netty.any what=\"Failed to accept\"",
-                "Too many open files");
+        Logger.getLogger("io.netty.any")
+                .log(Level.WARNING, "Failed to accept", new IOException("Too many open files"));
+        assertThat(lines.toString())
+                .contains(
+                        "WARN library logger=io.netty.any what=\"Failed to accept\"",
+                        "Too many open files");
     }
 
     /** Guards against a flood of one warning that costs more than what it tells of. */
@@ -42,7 +53,9 @@
             log.warn(i == 3 ? "other" : "short");
             now = now.plusMillis(100);
         }
-        assertThat(lines.toString().lines()).hasSize(4).anyMatch(line -> line.endsWith("WARN other"))
+        assertThat(lines.toString().lines())
+                .hasSize(4)
+                .anyMatch(line -> line.endsWith("WARN other"))
                 .anyMatch(line -> line.endsWith("WARN short n=10 left_out=18"))
                 .anyMatch(line -> line.endsWith("WARN short n=20 left_out=19"));
     }
