--- a/router/src/test/java/ironwind/net/RouterTest.java
+++ b/router/src/test/java/ironwind/net/RouterTest.java
@@ -52,17 +52,26 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A router on loopback between clients, one group of hosts and discovery, all played from the public protocols. */
+/**
+ * A router on loopback between clients, one group of hosts and discovery, all played from the
+ * public protocols.
+ */
 @Timeout(value = 10, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class RouterTest {
     private static final String CUT = "no answer, and the connection is cut";
     private static final String SILENT = "no answer at all";
+
     /** Discovery's answers come in pieces of so many bytes. */
     private static final int PIECE = 1_021;
+
     private static final InetAddress LOOPBACK = InetAddress.getLoopbackAddress();
-    private static final String READ = "/* id=r%d,c=read,d=%d,cluster=2 */ SELECT val FROM state WHERE uid = 'k'";
-    private static final String WRITE = "/* id=r%d,c=write,d=%d,k=m,cluster=2 */ INSERT INTO state (uid) VALUES ('k')";
-    private static final JsonObject SETTINGS = new JsonObject("""
+    private static final String READ =
+            "/* id=r%d,c=read,d=%d,cluster=2 */ SELECT val FROM state WHERE uid = 'k'";
+    private static final String WRITE =
+            "/* id=r%d,c=write,d=%d,k=m,cluster=2 */ INSERT INTO state (uid) VALUES ('k')";
+    private static final JsonObject SETTINGS =
+            new JsonObject(
+                    """
         {"period_us": 5000, "peers_total": 1, "zones": ["north"], "kinds": ["plain"], "tenants": [],
          "lanes": [
           {"name": "read", "effect": "retryable", "deadline_us": 2000000, "goal_time_us": 400000, "worth": 2.0},
@@ -95,41 +104,66 @@
     private HttpServer discovery(BlockingQueue<String> answers) throws IOException {
         HttpServer server = HttpServer.create(new InetSocketAddress(LOOPBACK, 0), 0);
         server.setExecutor(threads);
-        server.createContext("/registry/instances", exchange -> {
-            try {
-                String answer = answers.take();
-                if (answer.equals(SILENT)) {
-                    new CountDownLatch(1).await();
-                } else if (answer.equals(CUT)) {
-                    return;
-                }
-                byte[] body = answer.getBytes(StandardCharsets.UTF_8);
-                exchange.sendResponseHeaders(200, body.length);
-                for (int from = 0; from < body.length; from += PIECE) {
-                    exchange.getResponseBody().write(body, from, Math.min(PIECE, body.length - from));
-                    exchange.getResponseBody().flush();
-                }
-            } catch (InterruptedException e) {
-                Thread.currentThread().interrupt();
-            } finally {
-                exchange.close();
-            }
-        });
+        server.createContext(
+                "/registry/instances",
+                exchange -> {
+                    try {
+                        String answer = answers.take();
+                        if (answer.equals(SILENT)) {
+                            new CountDownLatch(1).await();
+                        } else if (answer.equals(CUT)) {
+                            return;
+                        }
+                        byte[] body = answer.getBytes(StandardCharsets.UTF_8);
+                        exchange.sendResponseHeaders(200, body.length);
+                        for (int from = 0; from < body.length; from += PIECE) {
+                            exchange.getResponseBody()
+                                    .write(body, from, Math.min(PIECE, body.length - from));
+                            exchange.getResponseBody().flush();
+                        }
+                    } catch (InterruptedException e) {
+                        Thread.currentThread().interrupt();
+                    } finally {
+                        exchange.close();
+                    }
+                });
         server.start();
         return server;
     }
 
     private static JsonObject configuration(HttpServer discovery) {
-        return new JsonObject().put("name", "n1").put("listen", "127.0.0.1:0")
-                .put("discovery", "127.0.0.1:" + discovery.getAddress().getPort()).put("seed", "8c1f30d27a5be964")
-                .put("limits", new JsonObject().put("sockets", 256)).put("settings", SETTINGS)
-                .put("known", new JsonObject().put("version", 1).put("full", true).put("servers", new JsonArray()));
+        return new JsonObject()
+                .put("name", "n1")
+                .put("listen", "127.0.0.1:0")
+                .put("discovery", "127.0.0.1:" + discovery.getAddress().getPort())
+                .put("seed", "8c1f30d27a5be964")
+                .put("limits", new JsonObject().put("sockets", 256))
+                .put("settings", SETTINGS)
+                .put(
+                        "known",
+                        new JsonObject()
+                                .put("version", 1)
+                                .put("full", true)
+                                .put("servers", new JsonArray()));
     }
 
     private Router limited(int sockets, Span hostIdle) {
-        return new Router(new StartFacts(facts.name(), facts.listen(), facts.discovery(), facts.seed(), sockets,
-                facts.memoryMb(), facts.knownHosts(), facts.deployment(), facts.names(), facts.connectTime(), hostIdle,
-                facts.answerSlack()), new Log(new PrintStream(log, true))).unrehearsed();
+        return new Router(
+                        new StartFacts(
+                                facts.name(),
+                                facts.listen(),
+                                facts.discovery(),
+                                facts.seed(),
+                                sockets,
+                                facts.memoryMb(),
+                                facts.knownHosts(),
+                                facts.deployment(),
+                                facts.names(),
+                                facts.connectTime(),
+                                hostIdle,
+                                facts.answerSlack()),
+                        new Log(new PrintStream(log, true)))
+                .unrehearsed();
     }
 
     private void begin(Router next) throws Exception {
@@ -154,8 +188,11 @@
     }
 
     private static String list(int version, JsonObject... entries) {
-        return new JsonObject().put("version", version).put("full", true)
-                .put("servers", new JsonArray(List.of(entries))).encode();
+        return new JsonObject()
+                .put("version", version)
+                .put("full", true)
+                .put("servers", new JsonArray(List.of(entries)))
+                .encode();
     }
 
     /** A client of a router that has heard the list. */
@@ -190,34 +227,67 @@
         return Encoder.query(form.formatted(asked++, waits));
     }
 
-    /** What a host does with its first request stands before the slash, with later ones after it. */
+    /**
+     * What a host does with its first request stands before the slash, with later ones after it.
+     */
     @ParameterizedTest(name = "{0} where the primary does {1} and the replica {2}: {3}")
     @CsvSource({
-        "read, row, row, TDCZ", "read, row, full/row, TDCZ", "read, row, error/row, TDCZ",
-        "read, row, reset/row, TDCZ", "read, row, close/row, TDCZ", "read, full, row and close, TDCZ",
-        "write, row and close, miss, TDCZ", "read, row, hang up, TDCZ", "read, row, mute, TDCZ",
-        "read, full, full, E53300 250", "write, row, row, TDCZ", "write, full/row, row, TDCZ",
-        "write, no room/row, row, TDCZ", "write, babble, row, E53300 200", "write, no room, miss, E53300 200",
-        "write, miss/row, row, TDCZ", "write, error/row, row, E40003", "write, reset/row, row, E40003",
-        "write, close/row, row, E40003", "write, garbage/row, row, E40003", "read, row, garbage/row, TDCZ",
-        "write, two rows/row, row, E40003", "read, row, two rows/row, TDCZ", "write, huge/row, row, E40003",
-        "write, half/row, row, E40003", "read, row, half/row, TDCZ", "read, row, tag first/row, TDCZ",
-        "read, row, odd load, TDCZ", "write, silent, row, E40003",
-        "write, full, miss, E53300 200", "write, hang up, miss, E53300 200", "write, mute, miss, E53300 200"})
-    void eachRpcGetsOneAnswerAndNoNonIdempotentOneRunsTwice(String method, String primarys, String replicas,
-            String answer) throws Exception {
+        "read, row, row, TDCZ",
+        "read, row, full/row, TDCZ",
+        "read, row, error/row, TDCZ",
+        "read, row, reset/row, TDCZ",
+        "read, row, close/row, TDCZ",
+        "read, full, row and close, TDCZ",
+        "write, row and close, miss, TDCZ",
+        "read, row, hang up, TDCZ",
+        "read, row, mute, TDCZ",
+        "read, full, full, E53300 250",
+        "write, row, row, TDCZ",
+        "write, full/row, row, TDCZ",
+        "write, no room/row, row, TDCZ",
+        "write, babble, row, E53300 200",
+        "write, no room, miss, E53300 200",
+        "write, miss/row, row, TDCZ",
+        "write, error/row, row, E40003",
+        "write, reset/row, row, E40003",
+        "write, close/row, row, E40003",
+        "write, garbage/row, row, E40003",
+        "read, row, garbage/row, TDCZ",
+        "write, two rows/row, row, E40003",
+        "read, row, two rows/row, TDCZ",
+        "write, huge/row, row, E40003",
+        "write, half/row, row, E40003",
+        "read, row, half/row, TDCZ",
+        "read, row, tag first/row, TDCZ",
+        "read, row, odd load, TDCZ",
+        "write, silent, row, E40003",
+        "write, full, miss, E53300 200",
+        "write, hang up, miss, E53300 200",
+        "write, mute, miss, E53300 200"
+    })
+    void eachRpcGetsOneAnswerAndNoNonIdempotentOneRunsTwice(
+            String method, String primarys, String replicas, String answer) throws Exception {
         primary.acts = primarys.split("/");
         replica.acts = replicas.split("/");
         Wire client = client();
         client.send(ask(method.equals("read") ? READ : WRITE, 800), Encoder.query(""));
         assertThat(client.answer()).isEqualTo(answer);
         assertThat(client.answer()).isEqualTo("IZ");
-        assertThat(primary.mayHaveRun + replica.mayHaveRun).isLessThanOrEqualTo(method.equals("read") ? 4 : 1);
+        assertThat(primary.mayHaveRun + replica.mayHaveRun)
+                .isLessThanOrEqualTo(method.equals("read") ? 4 : 1);
         client.send(Encoder.query("SHOW stats"));
         assertThat(client.answer()).isEqualTo("TDCZ");
-        assertThat(new String(client.lastData, StandardCharsets.UTF_8)).contains("rpcs=1 ").containsPattern(
-                Map.of('T', "ok=1 pushed_back=0 aborted=0", '5', "ok=0 pushed_back=1 aborted=0",
-                        '4', "ok=0 pushed_back=0 aborted=1").get(answer.charAt(answer.startsWith("E") ? 1 : 0)));
+        assertThat(new String(client.lastData, StandardCharsets.UTF_8))
+                .contains("rpcs=1 ")
+                .containsPattern(
+                        Map.of(
+                                        'T',
+                                        "ok=1 pushed_back=0 aborted=0",
+                                        '5',
+                                        "ok=0 pushed_back=1 aborted=0",
+                                        '4',
+                                        "ok=0 pushed_back=0 aborted=1")
+                                .get(answer.charAt(answer.startsWith("E") ? 1 : 0)));
         assertThat(log.toString()).doesNotContain("ERROR");
     }
 
@@ -249,10 +319,19 @@
 
     /** Guards against one client's bad bytes taking others along. */
     @ParameterizedTest(name = "{0}: {1}")
-    @CsvSource({"5100000003, E08P01 closed", "51ffffffff, E08P01 closed", "517f000000, E54000 closed",
-        "ff00000004, E08P01 closed", "510000000a, E57P05 closed", "'', ' closed'",
-        "5101000000, E54000 closed", "3f00000004, E08P01 closed",
-        "50000000045300000004, E0A000", "51000000062000, IZ", "510000000a2f2a20613d00, E42601"})
+    @CsvSource({
+        "5100000003, E08P01 closed",
+        "51ffffffff, E08P01 closed",
+        "517f000000, E54000 closed",
+        "ff00000004, E08P01 closed",
+        "510000000a, E57P05 closed",
+        "'', ' closed'",
+        "5101000000, E54000 closed",
+        "3f00000004, E08P01 closed",
+        "50000000045300000004, E0A000",
+        "51000000062000, IZ",
+        "510000000a2f2a20613d00, E42601"
+    })
     void malformedInputEndsInAnErrorForThatClientAlone(String hex, String answer) throws Exception {
         Wire other = client();
         Wire bad = connect();
@@ -266,16 +345,32 @@
         readIsServed(other);
     }
 
-    /** Guards against comments that would be taken at their word, and against groups that come to be by being named. */
+    /**
+     * Guards against comments that would be taken at their word, and against groups that come to be
+     * by being named.
+     */
     @ParameterizedTest(name = "{0}")
-    @ValueSource(strings = {"id=x,c=read,d=0,cluster=2", "id=x,c=read,d=-1,cluster=2", "id=x,c=read,d=x,cluster=2",
-        "id=x,c=read,d=8100,cluster=2", "id=x,c=read,d=9223372036854775807,cluster=2", "id=x,c=read,d=9,cluster=3",
-        "id=x,c=read,d=9,cluster=4294967298", "id=x,c=nosuch,d=9,cluster=2", "c=read,d=9,cluster=2",
-        "id=x,c=read,d=9,cluster=2,after=soon", "id=open,c=read,d=9,cluster=2", "id=x,c=read,d=9,id=y,cluster=2"})
+    @ValueSource(
+            strings = {
+                "id=x,c=read,d=0,cluster=2",
+                "id=x,c=read,d=-1,cluster=2",
+                "id=x,c=read,d=x,cluster=2",
+                "id=x,c=read,d=8100,cluster=2",
+                "id=x,c=read,d=9223372036854775807,cluster=2",
+                "id=x,c=read,d=9,cluster=3",
+                "id=x,c=read,d=9,cluster=4294967298",
+                "id=x,c=nosuch,d=9,cluster=2",
+                "c=read,d=9,cluster=2",
+                "id=x,c=read,d=9,cluster=2,after=soon",
+                "id=open,c=read,d=9,cluster=2",
+                "id=x,c=read,d=9,id=y,cluster=2"
+            })
     void whatCannotBeTakenIsAnsweredWithAnErrorAndReachesNoHost(String comment) throws Exception {
         replica.acts = new String[] {"wait"};
         Wire other = client();
-        other.send(Encoder.query("/* id=open,c=read,d=2000,cluster=2 */ SELECT val FROM state WHERE uid = 'k'"));
+        other.send(
+                Encoder.query(
+                        "/* id=open,c=read,d=2000,cluster=2 */ SELECT val FROM state WHERE uid = 'k'"));
         replica.requests.take();
         Wire bad = admitted();
         bad.send(Encoder.query("/* " + comment + " */ SELECT 2"), Encoder.query(""));
@@ -286,7 +381,10 @@
         assertThat(replica.requests).isEmpty();
     }
 
-    /** Guards against connections that say nothing and take all descriptors: they give way, known ones stay. */
+    /**
+     * Guards against connections that say nothing and take all descriptors: they give way, known
+     * ones stay.
+     */
     @Test
     void silentConnectionsGiveWayToThoseThatSpeak() throws Exception {
         begin(limited(32 + 20, facts.hostIdleTime()));
@@ -306,7 +404,9 @@
         assertThat(silent.get(59).answer()).isEqualTo("E57P05 closed");
     }
 
-    /** Guards against what a host sends behind an answer becoming the answer to the next request. */
+    /**
+     * Guards against what a host sends behind an answer becoming the answer to the next request.
+     */
     @ParameterizedTest
     @ValueSource(strings = {"row and copy", "row and late copy", "row and noise"})
     void whatComesBehindAnAnswerIsNoAnswer(String act) throws Exception {
@@ -324,10 +424,13 @@
     void theRehearsalStaysInside() throws Exception {
         begin(new Router(facts, new Log(new PrintStream(log, true))));
         Wire client = client();
-        client.send(Encoder.query("/* id=rehearsal-1,c=0,d=9,cluster=0 */ SELECT 1"), Encoder.query("SHOW stats"));
+        client.send(
+                Encoder.query("/* id=rehearsal-1,c=0,d=9,cluster=0 */ SELECT 1"),
+                Encoder.query("SHOW stats"));
         assertThat(client.answer()).isEqualTo("E42601");
         assertThat(client.answer()).isEqualTo("TDCZ");
-        assertThat(new String(client.lastData, StandardCharsets.UTF_8)).contains("rpcs=0 ", "call_outs=0 ");
+        assertThat(new String(client.lastData, StandardCharsets.UTF_8))
+                .contains("rpcs=0 ", "call_outs=0 ");
         assertThat(primary.connections + replica.connections).isZero();
         assertThat(log.toString()).containsPattern("INFO rehearsed rpcs=[1-9]");
     }
@@ -354,7 +457,10 @@
         next.stop(0);
     }
 
-    /** Guards against a request that crosses its host's closing of an idle connection, and may have run. */
+    /**
+     * Guards against a request that crosses its host's closing of an idle connection, and may have
+     * run.
+     */
     @Test
     void connectionsToHostsAreClosedBeforeTheirHostsCloseThem() throws Exception {
         begin(limited(facts.mostSockets(), Span.ofMillis(200)));
@@ -380,14 +486,20 @@
         assertThat(replica.ends.take()).isEqualTo("closed by the router");
     }
 
-    /** Guards against a client that asks without end and waits for no answer: it is read as it is answered. */
+    /**
+     * Guards against a client that asks without end and waits for no answer: it is read as it is
+     * answered.
+     */
     @Test
     void aClientFarAheadOfItsAnswersIsNotReadFrom() throws Exception {
         replica.acts = new String[] {"wait"};
         primary.acts = replica.acts;
         Wire client = client();
         Wire other = admitted();
-        client.send(Collections.nCopies(20, 0).stream().map(i -> ask(READ, 5_000)).toArray(byte[][]::new));
+        client.send(
+                Collections.nCopies(20, 0).stream()
+                        .map(i -> ask(READ, 5_000))
+                        .toArray(byte[][]::new));
         do {
             other.send(Encoder.query("SHOW stats"));
             other.answer();
@@ -415,7 +527,10 @@
     void largeValuesPassThroughBothWays() throws Exception {
         value = new byte[64 * 1024];
         new SplittableRandom(1).nextBytes(value);
-        String statement = "INSERT INTO state (uid, val) VALUES ('k', '\\x" + HexFormat.of().formatHex(value) + "')";
+        String statement =
+                "INSERT INTO state (uid, val) VALUES ('k', '\\x"
+                        + HexFormat.of().formatHex(value)
+                        + "')";
         Wire client = client();
         client.send(ask("/* id=r%d,c=write,d=%d,cluster=2 */ " + statement, 2_000));
         assertThat(client.answer()).isEqualTo("TDCZ");
@@ -451,8 +566,9 @@
     }
 
     /**
-     * Guards against an RPC that was taken before the end was asked for, and whose client waits longer than the
-     * process may live: it was lost with the process, where its call-out was out as where it was held.
+     * Guards against an RPC that was taken before the end was asked for, and whose client waits
+     * longer than the process may live: it was lost with the process, where its call-out was out as
+     * where it was held.
      */
     @ParameterizedTest(name = "at a primary that does {0}: {1}")
     @CsvSource({"silent, E40003", "miss, E53300 200"})
@@ -469,22 +585,35 @@
     }
 
     /**
-     * 1,024 hosts and routers, and far fewer descriptors than hosts: the list comes whole though in pieces, each group is
-     * served, and connections are closed in turn.
+     * 1,024 hosts and routers, and far fewer descriptors than hosts: the list comes whole though in
+     * pieces, each group is served, and connections are closed in turn.
      */
     @Test
     void aLongListIsServedWholeWithFewDescriptors() throws Exception {
         JsonObject settings = SETTINGS.copy().put("peers_total", 1_024);
-        facts = StartFacts.read(configuration(discovery).put("settings", settings)
-                .put("limits", new JsonObject().put("sockets", 96)));
-        JsonObject[] entries = IntStream.range(0, 1_024).mapToObj(i -> (i % 4 == 0 ? primary : replica).entry()
-                .put("id", "h" + i).put("cell", i / 4)).toArray(JsonObject[]::new);
+        facts =
+                StartFacts.read(
+                        configuration(discovery)
+                                .put("settings", settings)
+                                .put("limits", new JsonObject().put("sockets", 96)));
+        JsonObject[] entries =
+                IntStream.range(0, 1_024)
+                        .mapToObj(
+                                i ->
+                                        (i % 4 == 0 ? primary : replica)
+                                                .entry()
+                                                .put("id", "h" + i)
+                                                .put("cell", i / 4))
+                        .toArray(JsonObject[]::new);
         lists.add(list(2, entries));
         begin(new Router(facts, new Log(new PrintStream(log, true))).unrehearsed());
         Wire client = admitted();
         for (int group = 0; group < 256; group++) {
             for (String form : List.of(READ, WRITE)) {
-                client.send(Encoder.query(form.formatted(asked++, 1_900).replace("cluster=2", "cluster=" + group)));
+                client.send(
+                        Encoder.query(
+                                form.formatted(asked++, 1_900)
+                                        .replace("cluster=2", "cluster=" + group)));
                 assertThat(client.answer()).as("%s of group %d", form, group).isEqualTo("TDCZ");
             }
         }
@@ -494,7 +623,14 @@
 
     /** Guards against an answer of discovery, or none, that stops the router from asking again. */
     @ParameterizedTest
-    @ValueSource(strings = {"nonsense", "{}", "{\"version\":7,\"servers\":[{\"id\":\"x\"}]}", CUT, SILENT})
+    @ValueSource(
+            strings = {
+                "nonsense",
+                "{}",
+                "{\"version\":7,\"servers\":[{\"id\":\"x\"}]}",
+                CUT,
+                SILENT
+            })
     void discoveryIsAskedAgainWhateverItAnswers(String answer) throws Exception {
         lists.add(answer);
         Wire client = client();
@@ -503,21 +639,35 @@
             client.send(ask(READ, 900));
             last = client.answer();
         }
-        assertThat(log.toString()).containsOnlyOnce("discovery_failed").containsOnlyOnce("discovery_back");
+        assertThat(log.toString())
+                .containsOnlyOnce("discovery_failed")
+                .containsOnlyOnce("discovery_back");
     }
 
-    /** Guards against a defect of the module: what it concerns is aborted, once, and told with its place. */
+    /**
+     * Guards against a defect of the module: what it concerns is aborted, once, and told with its
+     * place.
+     */
     @ParameterizedTest(name = "a module that {0}")
     @CsvSource({"throws, UnsupportedOperationException", "forgets, IllegalStateException"})
     void anRpcThatADefectConcernsIsStillAnswered(String defect, String told) throws Exception {
-        InvocationHandler module = (proxy, method, arguments) -> {
-            if (method.getName().equals("arrived") && defect.equals("throws")) {
-                throw new UnsupportedOperationException();
-            }
-            return method.getName().equals("group") ? new Group(2) : null;
-        };
-        begin(new Router(facts, new Log(new PrintStream(log, true)), outbound -> (Inbound) Proxy.newProxyInstance(
-                getClass().getClassLoader(), new Class<?>[] {Inbound.class}, module)));
+        InvocationHandler module =
+                (proxy, method, arguments) -> {
+                    if (method.getName().equals("arrived") && defect.equals("throws")) {
+                        throw new UnsupportedOperationException();
+                    }
+                    return method.getName().equals("group") ? new Group(2) : null;
+                };
+        begin(
+                new Router(
+                        facts,
+                        new Log(new PrintStream(log, true)),
+                        outbound ->
+                                (Inbound)
+                                        Proxy.newProxyInstance(
+                                                getClass().getClassLoader(),
+                                                new Class<?>[] {Inbound.class},
+                                                module)));
         Wire client = client();
         client.send(ask(READ, 100), Encoder.query(""));
         assertThat(client.answer()).isEqualTo("E40003");
@@ -525,21 +675,34 @@
         assertThat(log.toString()).containsOnlyOnce("ERROR fault").contains(told, "at=ironwind");
     }
 
-    /** Guards against a wait behind a loop that stood still being taken for one in a crowd: nothing else is held up. */
+    /**
+     * Guards against a wait behind a loop that stood still being taken for one in a crowd: nothing
+     * else is held up.
+     */
     @Test
     void whatWasReadBehindALoopThatStoodStillIsServedInWhatIsLeftOfItsTime() throws Exception {
         CountDownLatch stands = new CountDownLatch(1);
-        begin(new Router(facts, new Log(new PrintStream(log, true)), outbound -> {
-            Inbound logic = new Logic(facts.deployment(), facts.seed(), outbound);
-            return (Inbound) Proxy.newProxyInstance(getClass().getClassLoader(), new Class<?>[] {Inbound.class},
-                    (proxy, method, arguments) -> {
-                        if (method.getName().equals("arrived") && stands.getCount() > 0) {
-                            stands.countDown();
-                            Thread.sleep(600);
-                        }
-                        return method.invoke(logic, arguments);
-                    });
-        }).unrehearsed());
+        begin(
+                new Router(
+                                facts,
+                                new Log(new PrintStream(log, true)),
+                                outbound -> {
+                                    Inbound logic =
+                                            new Logic(facts.deployment(), facts.seed(), outbound);
+                                    return (Inbound)
+                                            Proxy.newProxyInstance(
+                                                    getClass().getClassLoader(),
+                                                    new Class<?>[] {Inbound.class},
+                                                    (proxy, method, arguments) -> {
+                                                        if (method.getName().equals("arrived")
+                                                                && stands.getCount() > 0) {
+                                                            stands.countDown();
+                                                            Thread.sleep(600);
+                                                        }
+                                                        return method.invoke(logic, arguments);
+                                                    });
+                                })
+                        .unrehearsed());
         Wire first = client();
         Wire second = admitted();
         first.send(ask(READ, 1_900));
@@ -553,7 +716,8 @@
     /** One end of a connection, read message by message. */
     private static final class Wire implements AutoCloseable {
         private final Socket socket;
-        private final Frames frames = new Frames(false, HostMessage.TYPES + ClientMessage.TYPES, 1 << 20);
+        private final Frames frames =
+                new Frames(false, HostMessage.TYPES + ClientMessage.TYPES, 1 << 20);
         private byte[] lastData;
 
         Wire(Socket socket) {
@@ -622,22 +786,30 @@
         StandInHost(String role) throws IOException {
             this.role = role;
             opened.add(server);
-            threads.submit(() -> {
-                while (!server.isClosed()) {
-                    Socket socket = server.accept();
-                    // It writes in pieces: else each answer would wait 40 ms for an acknowledgement.
-                    socket.setTcpNoDelay(true);
-                    connections++;
-                    threads.submit(() -> serve(socket));
-                }
-                return null;
-            });
+            threads.submit(
+                    () -> {
+                        while (!server.isClosed()) {
+                            Socket socket = server.accept();
+                            // It writes in pieces: else each answer would wait 40 ms for an
+                            // acknowledgement.
+                            socket.setTcpNoDelay(true);
+                            connections++;
+                            threads.submit(() -> serve(socket));
+                        }
+                        return null;
+                    });
         }
 
         JsonObject entry() {
-            return new JsonObject().put("id", role).put("addr", "127.0.0.1:" + server.getLocalPort())
-                    .put("zone", "north").put("kind", "plain")
-                    .put("cell", 2).put("state", "Ready").put("weight", 1.0).put("started_ms", 0)
+            return new JsonObject()
+                    .put("id", role)
+                    .put("addr", "127.0.0.1:" + server.getLocalPort())
+                    .put("zone", "north")
+                    .put("kind", "plain")
+                    .put("cell", 2)
+                    .put("state", "Ready")
+                    .put("weight", 1.0)
+                    .put("started_ms", 0)
                     .put("role", role);
         }
 
@@ -653,9 +825,13 @@
                 socket.getInputStream().readNBytes(Encoder.startup("client", "core").length);
                 if (List.of("hang up", "no room", "babble").contains(act(false))) {
                     switch (act(true)) {
-                        case "no room" -> wire.send(Encoder.fatal(new Failure("53300", "no connection left", null)));
-                        case "babble" -> wire.send("what is this?".getBytes(StandardCharsets.UTF_8));
-                        default -> { }
+                        case "no room" ->
+                                wire.send(
+                                        Encoder.fatal(
+                                                new Failure("53300", "no connection left", null)));
+                        case "babble" ->
+                                wire.send("what is this?".getBytes(StandardCharsets.UTF_8));
+                        default -> {}
                     }
                     return null;
                 }
@@ -663,7 +839,12 @@
                     wire.send(Encoder.welcome());
                 }
                 for (Frame frame = wire.next(); frame != null; frame = wire.next()) {
-                    String sql = new String(frame.body(), 0, frame.body().length - 1, StandardCharsets.ISO_8859_1);
+                    String sql =
+                            new String(
+                                    frame.body(),
+                                    0,
+                                    frame.body().length - 1,
+                                    StandardCharsets.ISO_8859_1);
                     if (frame.type() != 'Q' || !answered(wire, sql)) {
                         return null;
                     }
@@ -697,10 +878,12 @@
                     wire.send(Arrays.copyOf(whole, whole.length - 6 - 14));
                     wire.send(Encoder.row(Row.ofText("val", "y")));
                 }
-                case "tag first" -> wire.send(HexFormat.of().parseHex("430000000d53454c454354203100"));
+                case "tag first" ->
+                        wire.send(HexFormat.of().parseHex("430000000d53454c454354203100"));
                 case "huge" -> wire.send(HexFormat.of().parseHex("44b2d05e00"));
                 case "half" -> wire.send(HexFormat.of().parseHex("5400000020"));
-                case "odd load" -> row(wire, HexFormat.of().parseHex("53000000086c6f6164"), Encoder.ready());
+                case "odd load" ->
+                        row(wire, HexFormat.of().parseHex("53000000086c6f6164"), Encoder.ready());
                 case "row and copy" -> {
                     row(wire, Encoder.ready());
                     row(wire, Encoder.ready());
@@ -710,29 +893,41 @@
                     Thread.sleep(1);
                     row(wire, Encoder.ready());
                 }
-                case "row and noise" -> row(wire, Encoder.ready(), "noise".getBytes(StandardCharsets.UTF_8));
+                case "row and noise" ->
+                        row(wire, Encoder.ready(), "noise".getBytes(StandardCharsets.UTF_8));
                 case "garbage" -> wire.send("what is this?".getBytes(StandardCharsets.UTF_8));
                 case "reset" -> wire.socket.setSoLinger(true, 0);
-                default -> { }
+                default -> {}
             }
             return !List.of("reset", "close", "row and close").contains(act);
         }
 
         private void row(Wire wire, byte[]... end) throws IOException {
-            byte[] whole = Encoder.row(new Row(Row.ofText("val", "").description(), data(), "SELECT 1"));
+            byte[] whole =
+                    Encoder.row(new Row(Row.ofText("val", "").description(), data(), "SELECT 1"));
             int ready = whole.length - Encoder.ready().length;
-            wire.send(Arrays.copyOf(whole, ready), parameter("role", role),
+            wire.send(
+                    Arrays.copyOf(whole, ready),
+                    parameter("role", role),
                     parameter("applied_ms", Long.toString(System.currentTimeMillis())));
             wire.send(end);
         }
 
         private byte[] data() {
-            return ByteBuffer.allocate(6 + value.length).putShort((short) 1).putInt(value.length).put(value).array();
+            return ByteBuffer.allocate(6 + value.length)
+                    .putShort((short) 1)
+                    .putInt(value.length)
+                    .put(value)
+                    .array();
         }
 
         private byte[] parameter(String name, String value) {
             byte[] text = (name + "\0" + value + "\0").getBytes(StandardCharsets.UTF_8);
-            return ByteBuffer.allocate(5 + text.length).put((byte) 'S').putInt(4 + text.length).put(text).array();
+            return ByteBuffer.allocate(5 + text.length)
+                    .put((byte) 'S')
+                    .putInt(4 + text.length)
+                    .put(text)
+                    .array();
         }
     }
 }
--- a/router/src/test/java/ironwind/start/InstallationTest.java
+++ b/router/src/test/java/ironwind/start/InstallationTest.java
@@ -17,10 +17,10 @@
 
 /** The installation's own file. */
 class InstallationTest {
-    private static final Limits USUAL = Limits.of(500, 192, Span.ofMillis(800), Span.ofMillis(1_500));
+    private static final Limits USUAL =
+            Limits.of(500, 192, Span.ofMillis(800), Span.ofMillis(1_500));
 
-    @TempDir
-    private Path folder;
+    @TempDir private Path folder;
 
     private Installation read(String text) throws IOException {
         Path file = folder.resolve("i.hcl");
@@ -31,7 +31,9 @@
     @Test
     void whatIsNotSaidStaysAsItWas() throws IOException {
         assertThat(read("")).isEqualTo(new Installation(USUAL, LogForm.PAIRS));
-        Installation said = read("""
+        Installation said =
+                read(
+                        """
                 log {
                   form = "json"
                 }
@@ -45,21 +47,47 @@
                 }
                 """);
         assertThat(said.logForm()).isEqualTo(LogForm.JSON);
-        assertThat(said.idle()).isEqualTo(new Limits(18_000, 4_000, 0, 2_000, 200, USUAL.startupTime(),
-                USUAL.messageTime(), USUAL.greetedTime(), Span.ofMillis(12 * 3_600_000), USUAL.crowdedTime(), 0.5,
-                USUAL.memory(), USUAL.owedEach(), USUAL.owedAll(), USUAL.slowReaderTime(), USUAL.openRpcs(),
-                USUAL.turnTime(), USUAL.crowdTime(), USUAL.activeTime(), Span.ofMillis(60_000), 64 << 10));
+        assertThat(said.idle())
+                .isEqualTo(
+                        new Limits(
+                                18_000,
+                                4_000,
+                                0,
+                                2_000,
+                                200,
+                                USUAL.startupTime(),
+                                USUAL.messageTime(),
+                                USUAL.greetedTime(),
+                                Span.ofMillis(12 * 3_600_000),
+                                USUAL.crowdedTime(),
+                                0.5,
+                                USUAL.memory(),
+                                USUAL.owedEach(),
+                                USUAL.owedAll(),
+                                USUAL.slowReaderTime(),
+                                USUAL.openRpcs(),
+                                USUAL.turnTime(),
+                                USUAL.crowdTime(),
+                                USUAL.activeTime(),
+                                Span.ofMillis(60_000),
+                                64 << 10));
     }
 
     @ParameterizedTest(name = "{0}: {1}")
-    @CsvSource(delimiter = '|', value = {"connections = 10;per_address = 11 | 3: idle.per_address: is more than",
-        "connections = 10;per_customer = 11 | 3: idle.per_customer: is more than connections",
-        "memory = \"1MiB\";owed_all = \"1MiB\" | 3: idle.owed_all: is not less than memory",
-        "owed_each = \"1GiB\" | 2: idle.owed_each: is more than owed_all",
-        "served_time = \"1s\";crowded_time = \"2s\" | 3: idle.crowded_time: is longer than served_time",
-        "new_at_once = 5 | 2: idle.new_at_once: says nothing without new_per_second"})
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "connections = 10;per_address = 11 | 3: idle.per_address: is more than",
+                "connections = 10;per_customer = 11 | 3: idle.per_customer: is more than connections",
+                "memory = \"1MiB\";owed_all = \"1MiB\" | 3: idle.owed_all: is not less than memory",
+                "owed_each = \"1GiB\" | 2: idle.owed_each: is more than owed_all",
+                "served_time = \"1s\";crowded_time = \"2s\" | 3: idle.crowded_time: is longer than served_time",
+                "new_at_once = 5 | 2: idle.new_at_once: says nothing without new_per_second"
+            })
     void whatDoesNotGoTogetherIsComplainedOf(String text, String told) {
-        HclFault fault = catchThrowableOfType(HclFault.class, () -> read("idle {\n" + text.replace(';', '\n') + "\n}"));
+        HclFault fault =
+                catchThrowableOfType(
+                        HclFault.class, () -> read("idle {\n" + text.replace(';', '\n') + "\n}"));
         assertThat(fault.lines()).hasSize(1);
         assertThat(fault.lines().get(0)).contains("i.hcl:" + told);
     }
--- a/standin/src/main/java/ironwind/standin/Link.java
+++ b/standin/src/main/java/ironwind/standin/Link.java
@@ -100,7 +100,8 @@
 
     private void want() {
         if (!closed && key.isValid()) {
-            key.interestOps((deaf ? 0 : SelectionKey.OP_READ) | (left == null ? 0 : SelectionKey.OP_WRITE));
+            key.interestOps(
+                    (deaf ? 0 : SelectionKey.OP_READ) | (left == null ? 0 : SelectionKey.OP_WRITE));
         }
     }
 
--- a/standin/src/main/java/ironwind/standin/Loop.java
+++ b/standin/src/main/java/ironwind/standin/Loop.java
@@ -13,7 +13,10 @@
 import java.util.concurrent.ConcurrentLinkedQueue;
 import java.util.function.Supplier;
 
-/** One thread with a selector: listens, connects, and runs what is due. All calls but {@link #post} are its own. */
+/**
+ * One thread with a selector: listens, connects, and runs what is due. All calls but {@link #post}
+ * are its own.
+ */
 public final class Loop implements AutoCloseable {
     private static final int BUFFER_BYTES = 128 * 1024;
     private static final int QUEUE = 16_384;
@@ -32,20 +35,20 @@
     /** What one connection's owner hears. */
     public interface Handler {
         /** It is up. */
-        default void opened(Link link) {
-        }
+        default void opened(Link link) {}
 
         void received(Link link, byte[] bytes);
 
         /** It has ended, or never came up; not told where the owner closed it. */
-        default void closed(Link link) {
-        }
+        default void closed(Link link) {}
     }
 
     private record Due(long nanos, long order, Runnable action) implements Comparable<Due> {
         @Override
         public int compareTo(Due other) {
-            return nanos != other.nanos ? Long.compare(nanos, other.nanos) : Long.compare(order, other.order);
+            return nanos != other.nanos
+                    ? Long.compare(nanos, other.nanos)
+                    : Long.compare(order, other.order);
         }
     }
 
@@ -68,7 +71,8 @@
     }
 
     /** Listens; port 0 takes any. Returns the address. From any thread. */
-    public InetSocketAddress listen(InetSocketAddress at, Supplier<Handler> handlers) throws IOException {
+    public InetSocketAddress listen(InetSocketAddress at, Supplier<Handler> handlers)
+            throws IOException {
         ServerSocketChannel channel = ServerSocketChannel.open();
         channel.configureBlocking(false);
         channel.setOption(StandardSocketOptions.SO_REUSEADDR, true);
@@ -83,7 +87,8 @@
     }
 
     /** The same, with so many bytes for what is not read yet; 0 leaves that to the system. */
-    public Link connect(InetSocketAddress from, InetSocketAddress to, Handler handler, int receiveBuffer) {
+    public Link connect(
+            InetSocketAddress from, InetSocketAddress to, Handler handler, int receiveBuffer) {
         Link link = new Link(this, handler);
         try {
             link.channel = SocketChannel.open();
@@ -96,7 +101,9 @@
                 link.channel.bind(from);
             }
             boolean up = link.channel.connect(to);
-            link.key = link.channel.register(selector, up ? SelectionKey.OP_READ : SelectionKey.OP_CONNECT, link);
+            link.key =
+                    link.channel.register(
+                            selector, up ? SelectionKey.OP_READ : SelectionKey.OP_CONNECT, link);
             if (up) {
                 handler.opened(link);
             }
@@ -117,8 +124,12 @@
     private void run() {
         try {
             while (!over) {
-                long wait = due.isEmpty() ? LONGEST_WAIT_MS
-                        : Math.min(LONGEST_WAIT_MS, (due.peek().nanos - System.nanoTime()) / MILLION);
+                long wait =
+                        due.isEmpty()
+                                ? LONGEST_WAIT_MS
+                                : Math.min(
+                                        LONGEST_WAIT_MS,
+                                        (due.peek().nanos - System.nanoTime()) / MILLION);
                 if (wait > 0 && posted.isEmpty()) {
                     selector.select(this::ready, wait);
                 } else {
--- a/standin/src/main/java/ironwind/standin/StandInDiscovery.java
+++ b/standin/src/main/java/ironwind/standin/StandInDiscovery.java
@@ -15,11 +15,13 @@
     private static final long LONGEST_WAIT_MS = 60_000;
 
     private final HttpServer server;
-    private final ExecutorService threads = Executors.newCachedThreadPool(action -> {
-        Thread thread = new Thread(action, "discovery");
-        thread.setDaemon(true);
-        return thread;
-    });
+    private final ExecutorService threads =
+            Executors.newCachedThreadPool(
+                    action -> {
+                        Thread thread = new Thread(action, "discovery");
+                        thread.setDaemon(true);
+                        return thread;
+                    });
     private final String list;
 
     /** One group, number 0; the first host is its primary. */
@@ -27,10 +29,15 @@
         StringBuilder entries = new StringBuilder();
         for (int i = 0; i < hosts.size(); i++) {
             InetSocketAddress at = hosts.get(i).address();
-            entries.append(i == 0 ? "" : ",").append("{\"id\":\"h").append(i).append("\",\"addr\":\"127.0.0.1:")
-                    .append(at.getPort()).append("\",\"zone\":\"north\",\"kind\":\"plain\",\"cell\":0,\"state\":")
+            entries.append(i == 0 ? "" : ",")
+                    .append("{\"id\":\"h")
+                    .append(i)
+                    .append("\",\"addr\":\"127.0.0.1:")
+                    .append(at.getPort())
+                    .append("\",\"zone\":\"north\",\"kind\":\"plain\",\"cell\":0,\"state\":")
                     .append("\"Ready\",\"weight\":1.0,\"started_ms\":0,\"role\":\"")
-                    .append(i == 0 ? "primary" : "replica").append("\"}");
+                    .append(i == 0 ? "primary" : "replica")
+                    .append("\"}");
         }
         list = "{\"version\":1,\"full\":true,\"servers\":[" + entries + "]}";
         server = HttpServer.create(new InetSocketAddress("127.0.0.1", 0), 0);
--- a/standin/src/main/java/ironwind/standin/StandInHost.java
+++ b/standin/src/main/java/ironwind/standin/StandInHost.java
@@ -13,8 +13,9 @@
 import java.util.Map;
 
 /**
- * A database host that speaks PostgreSQL's protocol: it answers every statement with a row, after the time that its
- * work takes, and records what it ran. A key such as {@code big-65536} names the size of its value.
+ * A database host that speaks PostgreSQL's protocol: it answers every statement with a row, after
+ * the time that its work takes, and records what it ran. A key such as {@code big-65536} names the
+ * size of its value.
  */
 public final class StandInHost {
     private static final String BIG = "big-";
@@ -56,7 +57,9 @@
 
     private static int size(Statement statement) {
         String key = statement.key();
-        return key != null && key.startsWith(BIG) ? Integer.parseInt(key.substring(BIG.length())) : USUAL_BYTES;
+        return key != null && key.startsWith(BIG)
+                ? Integer.parseInt(key.substring(BIG.length()))
+                : USUAL_BYTES;
     }
 
     private final class Connection implements Loop.Handler {
@@ -86,9 +89,14 @@
                 return;
             }
             record(statement);
-            link.write(Encoder.row(Row.ofText("val", "v".repeat(size(statement))),
-                    Map.of("role", primary ? "primary" : "replica",
-                            "applied_ms", Long.toString(System.currentTimeMillis()))));
+            link.write(
+                    Encoder.row(
+                            Row.ofText("val", "v".repeat(size(statement))),
+                            Map.of(
+                                    "role",
+                                    primary ? "primary" : "replica",
+                                    "applied_ms",
+                                    Long.toString(System.currentTimeMillis()))));
         }
     }
 }
