--- a/router/src/main/java/ironwind/Logic.java
+++ b/router/src/main/java/ironwind/Logic.java
@@ -1,14 +1,14 @@
 package ironwind;
 
 import ironwind.model.*;
-import ironwind.model.Deployment.HostChecks;
-import ironwind.model.Rpc.Stage;
+import ironwind.model.Deployment.StaleReadPolicy;
+import ironwind.model.Rpc.State;
 import java.util.*;
 import java.util.function.BiConsumer;
 
 /**
  * All decisions of one router. A front (the wire's adapter, or a real router) makes one instance
- * per router, brings every event of a batch through {@link Inbound}, then calls {@link #settle};
+ * per router, brings every event of a batch through {@link Inbound}, then calls {@link #onBatchEnd};
  * the module answers by {@link Outbound}. Both stand in {@code ironwind.model}, with the state that
  * only this class writes. It reads no clock but the batch's, draws chance from its seed alone, and
  * is not safe for use by several threads.
@@ -163,23 +163,23 @@
         LEFT
     }
 
-    private record Row(Stage state, Input input, Stage next, BiConsumer<Logic, Rpc> effect) {}
+    private record Row(State state, Input input, State next, BiConsumer<Logic, Rpc> effect) {}
 
     private static final Row[] TABLE = {
-        new Row(Stage.HELD, Input.LOOK, Stage.HELD, Logic::place),
-        new Row(Stage.HELD, Input.ARRIVED, Stage.HELD, Logic::admit),
-        new Row(Stage.HELD, Input.SENT, Stage.OUT, (logic, rpc) -> {}),
-        new Row(Stage.HELD, Input.HOPELESS, Stage.OVER, Logic::answerUnserved),
-        new Row(Stage.HELD, Input.LEFT, Stage.OVER, Logic::finish),
-        new Row(Stage.OUT, Input.SENT, Stage.TWICE_OUT, (logic, rpc) -> {}),
-        new Row(Stage.OUT, Input.OK, Stage.OVER, Logic::finish),
-        new Row(Stage.OUT, Input.UNRUN, Stage.HELD, Logic::hold),
-        new Row(Stage.OUT, Input.UNSURE, Stage.HELD, Logic::holdIfRepeatable),
-        new Row(Stage.OUT, Input.LEFT, Stage.OVER, Logic::finish),
-        new Row(Stage.TWICE_OUT, Input.OK, Stage.OVER, Logic::finish),
-        new Row(Stage.TWICE_OUT, Input.UNRUN, Stage.OUT, (logic, rpc) -> {}),
-        new Row(Stage.TWICE_OUT, Input.UNSURE, Stage.OUT, (logic, rpc) -> {}),
-        new Row(Stage.TWICE_OUT, Input.LEFT, Stage.OVER, Logic::finish),
+        new Row(State.PENDING, Input.LOOK, State.PENDING, Logic::place),
+        new Row(State.PENDING, Input.ARRIVED, State.PENDING, Logic::admit),
+        new Row(State.PENDING, Input.SENT, State.IN_FLIGHT, (logic, rpc) -> {}),
+        new Row(State.PENDING, Input.HOPELESS, State.DONE, Logic::answerUnserved),
+        new Row(State.PENDING, Input.LEFT, State.DONE, Logic::finish),
+        new Row(State.IN_FLIGHT, Input.SENT, State.HEDGED, (logic, rpc) -> {}),
+        new Row(State.IN_FLIGHT, Input.OK, State.DONE, Logic::finish),
+        new Row(State.IN_FLIGHT, Input.UNRUN, State.PENDING, Logic::hold),
+        new Row(State.IN_FLIGHT, Input.UNSURE, State.PENDING, Logic::holdIfRepeatable),
+        new Row(State.IN_FLIGHT, Input.LEFT, State.DONE, Logic::finish),
+        new Row(State.HEDGED, Input.OK, State.DONE, Logic::finish),
+        new Row(State.HEDGED, Input.UNRUN, State.IN_FLIGHT, (logic, rpc) -> {}),
+        new Row(State.HEDGED, Input.UNSURE, State.IN_FLIGHT, (logic, rpc) -> {}),
+        new Row(State.HEDGED, Input.LEFT, State.DONE, Logic::finish),
     };
 
     private final Deployment deployment;
@@ -187,7 +187,7 @@
     private final Outbound outbound;
     private final Map<String, Host> hosts = new LinkedHashMap<>();
     private final Map<Integer, Group> groups = new TreeMap<>();
-    private final Map<Integer, Mean> zones = new TreeMap<>();
+    private final Map<Integer, MovingAverage> zones = new TreeMap<>();
 
     /** By kind of host; null until one is asked for after a look. */
     private Map<Integer, Double> warmRates;
@@ -204,11 +204,11 @@
     /** Mean answer times where nothing strained: the work itself, as near as it can be told. */
     private final double[] easyUs;
 
-    private final List<Bucket> shares = new ArrayList<>();
+    private final List<TokenBucket> shares = new ArrayList<>();
     private double allMeanUs = FIRST_MEAN_US;
     private double errorShare;
-    private final Bucket positionProbes = new Bucket(0);
-    private final Bucket newsProbes = new Bucket(BURST);
+    private final TokenBucket positionProbes = new TokenBucket(0);
+    private final TokenBucket newsProbes = new TokenBucket(BURST);
     private Moment now = Moment.NEVER;
     private Moment started = Moment.NEVER;
     private Moment bucketsFilled = Moment.NEVER;
@@ -229,15 +229,15 @@
         this.easyUs = meanUs.clone();
         for (Customer customer : deployment.customers()) {
             shares.add(
-                    new Bucket(
+                    new TokenBucket(
                             Math.max(
                                     LEAST_SHARE,
-                                    customer.quotaPerSecond() / deployment.routers())));
+                                    customer.quotaPerSecond() / deployment.routerCount())));
         }
         this.halfBound =
                 deployment.methods().stream()
-                        .filter(m -> m.freshness() == Freshness.BOUNDED)
-                        .map(Method::bound)
+                        .filter(m -> m.consistency() == Consistency.BOUNDED)
+                        .map(Method::maxStaleness)
                         .min(Comparator.naturalOrder())
                         .orElse(Span.ofMillis(1_000))
                         .times(0.5);
@@ -246,31 +246,32 @@
     // ---- the list
 
     @Override
-    public void listed(Moment time, boolean complete, List<RosterEntry> entries) {
+    public void onDiscoveryUpdate(Moment time, boolean complete, List<HostEntry> entries) {
         now = time;
         started = started.us() == Moment.NEVER.us() ? now : started;
         stirred = true;
         Set<Host> absent = complete ? new LinkedHashSet<>(hosts.values()) : new LinkedHashSet<>();
-        for (RosterEntry entry : entries) {
+        for (HostEntry entry : entries) {
             Host host = hosts.computeIfAbsent(entry.id(), Host::new);
             absent.remove(host);
             if (host.group == null) {
-                host.room.limit = FIRST_LIMIT;
+                host.concurrency.limit = FIRST_LIMIT;
                 host.group = groups.computeIfAbsent(entry.group(), Group::new);
                 host.group.members.add(host);
                 host.group.members.sort(Comparator.comparing(h -> h.id));
-                host.group.following.limit = firstOf(host.group.members.size());
+                host.group.replicaPool.limit = firstOf(host.group.members.size());
             }
-            host.zoneAnswerUs = zones.computeIfAbsent(entry.zone(), zone -> new Mean(allMeanUs));
+            host.zoneResponseTimeUs =
+                    zones.computeIfAbsent(entry.zone(), zone -> new MovingAverage(allMeanUs));
             host.kind = entry.kind();
-            host.size = entry.size() > 0 ? entry.size() : 1;
-            relist(host, entry.listing());
+            host.weight = entry.weight() > 0 ? entry.weight() : 1;
+            relist(host, entry.discoveryState());
             if (entry.startedAt().after(host.startedAt)) {
                 restarted(host, entry.startedAt());
             }
             listedRole(host, entry.primary());
         }
-        absent.forEach(host -> relist(host, Host.Listing.GONE));
+        absent.forEach(host -> relist(host, Host.DiscoveryState.GONE));
         hosts.values().removeIf(this::forgets);
     }
 
@@ -279,21 +280,23 @@
      * let go.
      */
     private boolean forgets(Host host) {
-        boolean goes = host.listing == Host.Listing.GONE && (host.suspect || !sendable(host));
-        return goes && host.out.isEmpty() && host.group.members.remove(host);
+        boolean goes =
+                host.discoveryState == Host.DiscoveryState.GONE
+                        && (host.suspect || !sendable(host));
+        return goes && host.inFlight.isEmpty() && host.group.members.remove(host);
     }
 
-    private void relist(Host host, Host.Listing listing) {
-        host.listing = listing;
+    private void relist(Host host, Host.DiscoveryState listing) {
+        host.discoveryState = listing;
         host.seenDraining =
-                listing == Host.Listing.DRAINING
-                        || host.seenDraining && listing != Host.Listing.READY;
+                listing == Host.DiscoveryState.DRAINING
+                        || host.seenDraining && listing != Host.DiscoveryState.READY;
     }
 
     private void restarted(Host host, Moment startedAt) {
         host.startedAt = startedAt;
         host.coldPhase = random.nextDouble();
-        host.room.limit = FIRST_LIMIT / 2;
+        host.concurrency.limit = FIRST_LIMIT / 2;
         if (host.suspect && startedAt.after(host.suspectSince)) {
             trust(host);
         }
@@ -308,9 +311,11 @@
         host.listedPrimary = primary;
         Group group = host.group;
         boolean open = group.primary == null || group.primary.suspect || !sendable(group.primary);
-        boolean denied = host.toldReplica && now.since(host.lastHeard).shorterThan(LIST_LATENESS);
+        boolean denied =
+                host.reportedReplica
+                        && now.since(host.lastUsefulAnswerAt).shorterThan(LIST_LATENESS);
         if (changed && open && !denied) {
-            lead(host, group.primaryTold);
+            lead(host, group.primaryReportedAt);
         }
     }
 
@@ -321,19 +326,19 @@
         if (group.primary != host) {
             // What the last primary was strained by is not the new one's doing.
             stirred = true;
-            group.leading = new Room(firstOf(1));
+            group.primaryPool = new ConcurrencyLimit(firstOf(1));
         }
         group.primary = host;
-        group.primaryTold = spoken;
-        host.toldReplica = false;
+        group.primaryReportedAt = spoken;
+        host.reportedReplica = false;
     }
 
     private void heardRole(Host host, Role role, Moment spoken) {
-        if (role == Role.PRIMARY && !spoken.before(host.group.primaryTold)) {
+        if (role == Role.PRIMARY && !spoken.before(host.group.primaryReportedAt)) {
             lead(host, spoken);
         } else if (role == Role.REPLICA
-                && (host.group.primary != host || !spoken.before(host.group.primaryTold))) {
-            host.toldReplica = true;
+                && (host.group.primary != host || !spoken.before(host.group.primaryReportedAt))) {
+            host.reportedReplica = true;
             if (host.group.primary == host) {
                 host.group.primary = null;
             }
@@ -341,32 +346,32 @@
     }
 
     @Override
-    public void probed(Moment time, Host host, boolean answered, Role role, Moment position) {
+    public void onProbeEnded(Moment time, Host host, boolean answered, Role role, Moment position) {
         now = time;
-        host.probeOut = false;
-        host.probeAnswered = answered;
-        host.refused &= answered;
+        host.probeInFlight = false;
+        host.lastProbeAnswered = answered;
+        host.connectionRefused &= answered;
         if (!answered) {
-            host.trialsFailed = Math.max(1, host.trialsFailed);
+            host.failedTrials = Math.max(1, host.failedTrials);
             return;
         }
-        if (host.refused) {
+        if (host.connectionRefused) {
             // It runs, yet refused a connection; one that was down failed its probe first. Guards
             // against few
             // connections for many routers: each gives back what it doesn't use. Harm: more
             // handshakes.
-            host.refused = false;
+            host.connectionRefused = false;
             scarceUntil = now.plus(SCARCE_HOLDS);
             trust(host);
         }
         if (position.after(Moment.NEVER)) {
             host.position = host.position.later(position);
-            host.reportHeard = now;
-            host.lateness = now.since(position);
-            host.group.leastLateness =
+            host.positionReportedAt = now;
+            host.lag = now.since(position);
+            host.group.minLag =
                     host.group.members.stream()
-                            .filter(h -> now.since(h.reportHeard).shorterThan(REPORT_HOLDS))
-                            .map(h -> h.lateness)
+                            .filter(h -> now.since(h.positionReportedAt).shorterThan(REPORT_HOLDS))
+                            .map(h -> h.lag)
                             .min(Comparator.naturalOrder())
                             .orElse(Span.ZERO);
             // A report is as old as its position at the least, so a late report cannot overrule an
@@ -377,7 +382,7 @@
     }
 
     @Override
-    public void ended(
+    public void onCallOutEnded(
             Moment time,
             CallOut callOut,
             Outcome outcome,
@@ -390,36 +395,37 @@
         Rpc rpc = callOut.rpc;
         Host host = callOut.host;
         callOut.ended = true;
-        host.out.remove(callOut);
-        if (host.out.isEmpty()) {
+        host.inFlight.remove(callOut);
+        if (host.inFlight.isEmpty()) {
             working.remove(host);
         }
-        rpc.out--;
-        if (!outcome.provesUnrun && rpc.firstMayHaveRun == null) {
-            rpc.firstMayHaveRun = callOut.sent;
+        rpc.inFlight--;
+        if (!outcome.provesNotRun && rpc.firstPossibleRunAt == null) {
+            rpc.firstPossibleRunAt = callOut.sentAt;
         }
         if (outcome.answered) {
             answered(callOut, outcome, role, position, took);
-        } else if (outcome == Outcome.UNREACHED && !host.lastHeard.after(callOut.sent)) {
+        } else if (outcome == Outcome.CONNECT_FAILED
+                && !host.lastUsefulAnswerAt.after(callOut.sentAt)) {
             // One connection of many that stays silent is no silent host: it has answered on
             // another since.
-            host.refused = took.shorterThan(AT_ONCE);
+            host.connectionRefused = took.shorterThan(AT_ONCE);
             doubt(host);
-            if (host.refused && newsProbes.take()) {
+            if (host.connectionRefused && newsProbes.tryTake()) {
                 probe(host);
             }
-        } else if (outcome == Outcome.EXPIRED) {
-            strained(callOut, took.over(rpc.method.softDeadline()));
+        } else if (outcome == Outcome.TIMED_OUT) {
+            strained(callOut, took.ratioTo(rpc.method.softDeadline()));
         }
         leave(callOut, took);
-        if (now.before(scarceUntil) && host.out.isEmpty()) {
-            outbound.closeIdle(host);
+        if (now.before(scarceUntil) && host.inFlight.isEmpty()) {
+            outbound.closeIdleConnections(host);
         }
         step(
                 rpc,
                 outcome == Outcome.OK
                         ? Input.OK
-                        : closed ? Input.LEFT : outcome.provesUnrun ? Input.UNRUN : Input.UNSURE);
+                        : closed ? Input.LEFT : outcome.provesNotRun ? Input.UNRUN : Input.UNSURE);
     }
 
     /**
@@ -427,69 +433,75 @@
      * took.
      */
     private void leave(CallOut callOut, Span took) {
-        Room pool = callOut.pool;
-        if (!callOut.stranded) {
-            pool.out--;
+        ConcurrencyLimit pool = callOut.pool;
+        if (!callOut.releasedFromPool) {
+            pool.inFlight--;
             Span held =
                     took.longer(callOut.overdue ? callOut.rpc.method.softDeadline() : Span.ZERO);
-            pool.freeAt = pool.freeAt.later(now.plus(held.times(Math.max(0, 1 / pool.limit - 1))));
+            pool.availableAt =
+                    pool.availableAt.later(now.plus(held.times(Math.max(0, 1 / pool.limit - 1))));
         }
     }
 
     private void answered(CallOut callOut, Outcome outcome, Role role, Moment position, Span took) {
         Rpc rpc = callOut.rpc;
         Host host = callOut.host;
-        Freshness freshness = rpc.method.freshness();
-        if (outcome == Outcome.FULL) {
+        Consistency freshness = rpc.method.consistency();
+        if (outcome == Outcome.OVERLOADED) {
             // A hung host whose queue is full still turns work away: that is no sign of health.
             rest(host);
-            host.room.limit =
-                    Math.max(LEAST_LIMIT, Math.min(host.room.limit, host.out.size()) * LIMIT_CUT);
+            host.concurrency.limit =
+                    Math.max(
+                            LEAST_LIMIT,
+                            Math.min(host.concurrency.limit, host.inFlight.size()) * LIMIT_CUT);
             callOut.overdue = true;
             strained(callOut, 1);
         } else if (outcome == Outcome.ERROR) {
             erred(rpc, host);
         } else {
             errorShare -= SMOOTHING * errorShare;
-            host.lastHeard = now;
-            host.refused = false;
-            host.refusals = 0;
-            host.errors = 0;
+            host.lastUsefulAnswerAt = now;
+            host.connectionRefused = false;
+            host.consecutiveEjections = 0;
+            host.consecutiveErrors = 0;
             if (host.suspect) {
                 trust(host);
             }
         }
-        boolean committed = outcome == Outcome.OK && freshness == Freshness.WRITE;
+        boolean committed = outcome == Outcome.OK && freshness == Consistency.WRITE;
         if (position.after(Moment.NEVER)) {
             // A commit is told rounded up, so the log is known applied only to just before it.
             host.position =
                     host.position.later(committed ? position.minus(COMMIT_ROUNDING) : position);
-            if (committed && deployment.sessionsRemembered() && rpc.session != null) {
+            if (committed && deployment.sessionCommitsTracked() && rpc.session != null) {
                 commits.put(rpc.session, new Commit(host.group, position));
             }
         }
         heardRole(host, role, now);
-        if (freshness != Freshness.WRITE && deployment.hostChecks() == HostChecks.REFUSE) {
+        if (freshness != Consistency.WRITE
+                && deployment.staleReadPolicy() == StaleReadPolicy.REJECT) {
             if (outcome == Outcome.OK) {
-                host.position = host.position.later(need(rpc, callOut.sent));
-                if (!need(rpc, callOut.sent).before(host.missedNeed)) {
-                    host.missedAt = Moment.NEVER;
+                host.position = host.position.later(need(rpc, callOut.sentAt));
+                if (!need(rpc, callOut.sentAt).before(host.behindPosition)) {
+                    host.behindAt = Moment.NEVER;
                 }
-            } else if (outcome == Outcome.MISS) {
-                host.missedAt = now;
-                host.missedNeed = need(rpc, callOut.sent);
-                rpc.missed = true;
+            } else if (outcome == Outcome.INELIGIBLE) {
+                host.behindAt = now;
+                host.behindPosition = need(rpc, callOut.sentAt);
+                rpc.rejectedAsBehind = true;
             }
         }
         if (outcome == Outcome.OK) {
-            host.served.value = 1 + host.served.value * lasting(host.served, RATE_OVER);
-            host.served.heard = now;
+            host.recentOkCount.value =
+                    1 + host.recentOkCount.value * lasting(host.recentOkCount, RATE_OVER);
+            host.recentOkCount.updatedAt = now;
             timed(callOut, took);
         }
     }
 
     private void rest(Host host) {
-        host.restUntil = now.plus(REST.times(1 << Math.min(REST_DOUBLINGS, host.refusals++)));
+        host.ejectedUntil =
+                now.plus(REST.times(1 << Math.min(REST_DOUBLINGS, host.consecutiveEjections++)));
     }
 
     /**
@@ -500,17 +512,19 @@
      * later.
      */
     private void erred(Rpc rpc, Host host) {
-        if (rpc.erredAt == null) {
+        if (rpc.lastErrorHost == null) {
             errorShare += SMOOTHING * (1 - errorShare);
         }
-        rpc.errsAnywhere = rpc.erredAt != null && rpc.erredAt != host;
-        rpc.erredAt = host;
-        boolean counted = rpc.customer != null && !rpc.overShare && !rpc.repeat;
-        if (counted && (rpc.errsAnywhere || rpc.method.effect() == Effect.NON_IDEMPOTENT)) {
+        rpc.erredOnTwoHosts = rpc.lastErrorHost != null && rpc.lastErrorHost != host;
+        rpc.lastErrorHost = host;
+        boolean counted = rpc.customer != null && !rpc.overQuota && !rpc.clientRetry;
+        if (counted
+                && (rpc.erredOnTwoHosts
+                        || rpc.method.idempotency() == Idempotency.NON_IDEMPOTENT)) {
             // What can't be served anywhere uses up no share.
-            shares.get(rpc.customer.index()).fill(1, Double.MAX_VALUE);
+            shares.get(rpc.customer.index()).refill(1, Double.MAX_VALUE);
         }
-        if (Math.pow(errorShare, ++host.errors) < ERRORS_BY_CHANCE) {
+        if (Math.pow(errorShare, ++host.consecutiveErrors) < ERRORS_BY_CHANCE) {
             rest(host);
         }
     }
@@ -521,104 +535,112 @@
         double us = took.us();
         allMeanUs += SMOOTHING * (us - allMeanUs);
         meanUs[method.index()] += SMOOTHING * (us - meanUs[method.index()]);
-        if (callOut.pool.strain.value < EASY) {
+        if (callOut.pool.latencyRatio.value < EASY) {
             easyUs[method.index()] += SMOOTHING * (us - easyUs[method.index()]);
         }
         // A router with little traffic hears of a zone far oftener than of a host.
-        learn(host.zoneAnswerUs, us, HOST_SMOOTHING);
-        learn(host.answerUs, us, HOST_SMOOTHING);
-        strained(callOut, took.over(method.softDeadline()));
+        learn(host.zoneResponseTimeUs, us, HOST_SMOOTHING);
+        learn(host.responseTimeUs, us, HOST_SMOOTHING);
+        strained(callOut, took.ratioTo(method.softDeadline()));
     }
 
     /** What a host is expected to take: its own mean, fading into its zone's. */
     private double expectedUs(Host host) {
-        double fresh = lasting(host.answerUs, HOST_FADES);
-        return fresh * host.answerUs.value + (1 - fresh) * host.zoneAnswerUs.value;
+        double fresh = lasting(host.responseTimeUs, HOST_FADES);
+        return fresh * host.responseTimeUs.value + (1 - fresh) * host.zoneResponseTimeUs.value;
     }
 
     /** The part of a figure that still counts: all when just heard, less and less as it fades. */
-    private double lasting(Mean mean, Span over) {
-        return Math.exp(-now.since(mean.heard).over(over));
+    private double lasting(MovingAverage mean, Span over) {
+        return Math.exp(-now.since(mean.updatedAt).ratioTo(over));
     }
 
     /**
      * The longer nothing was heard, the more a sample weighs: routers with little traffic must
      * learn, and give way, as fast as others. Returns the weight.
      */
-    private double learn(Mean mean, double sample, double least) {
+    private double learn(MovingAverage mean, double sample, double least) {
         double weight =
-                Math.max(least, Math.min(MOST_WEIGHT, now.since(mean.heard).over(SAMPLES_OVER)));
+                Math.max(
+                        least,
+                        Math.min(MOST_WEIGHT, now.since(mean.updatedAt).ratioTo(SAMPLES_OVER)));
         mean.value += weight * (sample - mean.value);
-        mean.heard = now;
+        mean.updatedAt = now;
         return weight;
     }
 
     private void strained(CallOut callOut, double ratio) {
-        pace(callOut.host.room, ratio, HOST_SMOOTHING, callOut.host.out.size(), LEAST_LIMIT);
+        pace(
+                callOut.host.concurrency,
+                ratio,
+                HOST_SMOOTHING,
+                callOut.host.inFlight.size(),
+                LEAST_LIMIT);
         pace(
                 callOut.pool,
                 ratio,
                 SMOOTHING,
-                callOut.pool.out,
+                callOut.pool.inFlight,
                 leastOf(callOut.pool, callOut.host.group));
     }
 
     /** How many of ours may be out, by how answer times compare with soft deadlines. */
-    private void pace(Room room, double ratio, double smoothing, int out, double least) {
-        double weight = learn(room.strain, ratio, smoothing);
-        if (now.since(room.moved).shorterThan(LIMIT_REST)) {
+    private void pace(
+            ConcurrencyLimit room, double ratio, double smoothing, int out, double least) {
+        double weight = learn(room.latencyRatio, ratio, smoothing);
+        if (now.since(room.changedAt).shorterThan(LIMIT_REST)) {
             return;
         }
-        if (room.strain.value > STRAINED) {
+        if (room.latencyRatio.value > STRAINED) {
             room.limit =
                     Math.max(
                             least, Math.min(room.limit, out + 1) * Math.min(LIMIT_CUT, 1 - weight));
-            room.moved = now;
-        } else if (room.strain.value < EASY && out + 1 >= room.limit) {
-            double ease = 1 - room.strain.value / EASY;
+            room.changedAt = now;
+        } else if (room.latencyRatio.value < EASY && out + 1 >= room.limit) {
+            double ease = 1 - room.latencyRatio.value / EASY;
             room.limit =
                     Math.min(
                             MOST_LIMIT,
                             room.limit * (1 + LIMIT_GROWTH * ease)
                                     + LIMIT_STEP * Math.min(1, room.limit));
-            room.moved = now;
+            room.changedAt = now;
         }
     }
 
     /** Our part of the few call-outs a host that any host can work on without delay. */
-    private double leastOf(Room pool, Group group) {
+    private double leastOf(ConcurrencyLimit pool, Group group) {
         long count =
                 group.members.stream()
                         .filter(host -> sendable(host) && !host.suspect && poolOf(host) == pool)
                         .count();
-        return LEAST_A_HOST * Math.max(1, count) / deployment.routers();
+        return LEAST_A_HOST * Math.max(1, count) / deployment.routerCount();
     }
 
     private double firstOf(int hosts) {
-        return Math.max(1, FIRST_A_HOST * hosts / deployment.routers());
+        return Math.max(1, FIRST_A_HOST * hosts / deployment.routerCount());
     }
 
     private boolean roomAt(Host host) {
-        Room pool = poolOf(host);
-        return host.out.size() < host.room.limit
-                && pool.out < pool.limit
-                && !now.before(pool.freeAt);
+        ConcurrencyLimit pool = poolOf(host);
+        return host.inFlight.size() < host.concurrency.limit
+                && pool.inFlight < pool.limit
+                && !now.before(pool.availableAt);
     }
 
-    private Room poolOf(Host host) {
-        return host == host.group.primary ? host.group.leading : host.group.following;
+    private ConcurrencyLimit poolOf(Host host) {
+        return host == host.group.primary ? host.group.primaryPool : host.group.replicaPool;
     }
 
     /** What has passed its soft deadline unanswered says so before its answer does. */
     private void noteOverdue(Host host) {
-        for (CallOut callOut : host.out) {
-            Span waited = now.since(callOut.sent);
+        for (CallOut callOut : host.inFlight) {
+            Span waited = now.since(callOut.sentAt);
             if (!callOut.overdue
                     && !host.suspect
                     && waited.longerThan(callOut.rpc.method.softDeadline())) {
                 callOut.overdue = true;
                 strained(callOut, 1);
-                learn(host.zoneAnswerUs, waited.us(), HOST_SMOOTHING);
+                learn(host.zoneResponseTimeUs, waited.us(), HOST_SMOOTHING);
             }
         }
     }
@@ -632,18 +654,21 @@
      */
     private void listenTo(Host host) {
         double waited = 0;
-        Moment quietSince = host.out.get(0).sent.later(host.lastHeard);
-        for (int i = 0; i < Math.min(SILENCE_VOICES, host.out.size()); i++) {
-            waited += now.since(host.out.get(i).sent.later(host.lastHeard)).us();
-        }
-        double mean = Math.max(allMeanUs, Math.max(host.zoneAnswerUs.value, host.answerUs.value));
+        Moment quietSince = host.inFlight.get(0).sentAt.later(host.lastUsefulAnswerAt);
+        for (int i = 0; i < Math.min(SILENCE_VOICES, host.inFlight.size()); i++) {
+            waited += now.since(host.inFlight.get(i).sentAt.later(host.lastUsefulAnswerAt)).us();
+        }
+        double mean =
+                Math.max(
+                        allMeanUs,
+                        Math.max(host.zoneResponseTimeUs.value, host.responseTimeUs.value));
         if (!host.suspect
                 && waited > SILENCE * mean
                 && now.since(quietSince).longerThan(LEAST_SILENCE)) {
             doubt(host);
         } else if (host.suspect) {
-            for (CallOut trial : new ArrayList<>(host.out)) {
-                if (!trial.cancelled && now.since(trial.sent).us() > TRIAL_PATIENCE * mean) {
+            for (CallOut trial : new ArrayList<>(host.inFlight)) {
+                if (!trial.cancelled && now.since(trial.sentAt).us() > TRIAL_PATIENCE * mean) {
                     rescue(trial);
                 }
             }
@@ -651,30 +676,30 @@
     }
 
     private void doubt(Host host) {
-        host.trialsFailed = host.suspect ? host.trialsFailed + 1 : 0;
+        host.failedTrials = host.suspect ? host.failedTrials + 1 : 0;
         if (!host.suspect) {
             host.suspect = true;
             host.suspectSince = now;
-            host.probeAnswered = !deployment.probesAllowed();
+            host.lastProbeAnswered = !deployment.probesAllowed();
         }
         putOffTrial(host);
         stirred = true;
-        for (CallOut callOut : new ArrayList<>(host.out)) {
+        for (CallOut callOut : new ArrayList<>(host.inFlight)) {
             // What is stuck at a silent host takes no room away from the others.
-            callOut.pool.out -= callOut.stranded ? 0 : 1;
-            callOut.stranded = true;
+            callOut.pool.inFlight -= callOut.releasedFromPool ? 0 : 1;
+            callOut.releasedFromPool = true;
             rescue(callOut);
         }
     }
 
     private void putOffTrial(Host host) {
-        host.nextTrial =
-                now.plus(TRIAL_EVERY.times(1 << Math.min(TRIAL_DOUBLINGS, host.trialsFailed)));
+        host.nextTrialAt =
+                now.plus(TRIAL_EVERY.times(1 << Math.min(TRIAL_DOUBLINGS, host.failedTrials)));
     }
 
     private void trust(Host host) {
         host.suspect = false;
-        host.trialsFailed = 0;
+        host.failedTrials = 0;
     }
 
     /**
@@ -683,17 +708,17 @@
      */
     private void rescue(CallOut callOut) {
         Rpc rpc = callOut.rpc;
-        if (rpc.stage != Stage.OUT
-                || rpc.method.effect() != Effect.IDEMPOTENT
+        if (rpc.state != State.IN_FLIGHT
+                || rpc.method.idempotency() != Idempotency.IDEMPOTENT
                 || callOut.cancelled) {
             return;
         }
-        if (deployment.parallelCallOuts()) {
+        if (deployment.parallelCallOutsAllowed()) {
             Host other = choose(rpc);
             if (other != null) {
                 send(rpc, other);
             }
-        } else if (deployment.cancelAllowed()) {
+        } else if (deployment.cancellationAllowed()) {
             callOut.cancelled = true;
             outbound.cancel(callOut);
         }
@@ -704,30 +729,30 @@
      * runs.
      */
     private boolean trialDue(Host host, Rpc rpc) {
-        return rpc.method.effect() == Effect.IDEMPOTENT
+        return rpc.method.idempotency() == Idempotency.IDEMPOTENT
                 && rpc.callOuts.isEmpty()
-                && host.probeAnswered
-                && !now.before(host.nextTrial);
+                && host.lastProbeAnswered
+                && !now.before(host.nextTrialAt);
     }
 
     // ---- RPCs
 
     @Override
-    public void arrived(Moment time, Rpc rpc) {
+    public void onRpcArrived(Moment time, Rpc rpc) {
         now = time;
         step(rpc, Input.ARRIVED);
     }
 
     @Override
-    public void left(Moment time, Rpc rpc) {
+    public void onClientLeft(Moment time, Rpc rpc) {
         now = time;
         step(rpc, Input.LEFT);
     }
 
     private void step(Rpc rpc, Input input) {
         for (Row row : TABLE) {
-            if (row.state == rpc.stage && row.input == input) {
-                rpc.stage = row.next;
+            if (row.state == rpc.state && row.input == input) {
+                rpc.state = row.next;
                 row.effect.accept(this, rpc);
                 return;
             }
@@ -741,19 +766,19 @@
 
     private void admit(Rpc rpc) {
         if (rpc.customer != null && rpc.customer.quotaPerSecond() > 0) {
-            Bucket share = shares.get(rpc.customer.index());
-            rpc.overShare = rpc.repeat ? share.empty() : !share.take();
+            TokenBucket share = shares.get(rpc.customer.index());
+            rpc.overQuota = rpc.clientRetry ? share.isEmpty() : !share.tryTake();
         }
-        positionProbes.fill(
-                Math.min(MOST_PROBE_SHARE, POSITION_SPEND / deployment.probePrice()), BURST);
-        newsProbes.fill(Math.min(MOST_PROBE_SHARE, NEWS_SPEND / deployment.probePrice()), BURST);
+        positionProbes.refill(
+                Math.min(MOST_PROBE_SHARE, POSITION_SPEND / deployment.probeCost()), BURST);
+        newsProbes.refill(Math.min(MOST_PROBE_SHARE, NEWS_SPEND / deployment.probeCost()), BURST);
         if (!rpc.group.used) {
             rpc.group.used = true;
-            if (deployment.probesTellPosition()) {
+            if (deployment.probesReportPosition()) {
                 rpc.group.members.forEach(this::probe);
             }
         }
-        if (rpc.roomless) {
+        if (rpc.rejectOnArrival) {
             step(rpc, Input.HOPELESS);
         } else {
             hold(rpc);
@@ -761,10 +786,10 @@
     }
 
     private void holdIfRepeatable(Rpc rpc) {
-        if (rpc.method.effect() == Effect.NON_IDEMPOTENT
+        if (rpc.method.idempotency() == Idempotency.NON_IDEMPOTENT
                 || !repeatable(rpc)
                 || !now.before(rpc.deadline)
-                || rpc.errsAnywhere) {
+                || rpc.erredOnTwoHosts) {
             step(rpc, Input.HOPELESS);
         } else {
             hold(rpc);
@@ -775,8 +800,8 @@
         for (CallOut callOut : rpc.callOuts) {
             if (!callOut.ended
                     && !callOut.cancelled
-                    && deployment.cancelAllowed()
-                    && rpc.method.effect() == Effect.IDEMPOTENT) {
+                    && deployment.cancellationAllowed()
+                    && rpc.method.idempotency() == Idempotency.IDEMPOTENT) {
                 callOut.cancelled = true;
                 outbound.cancel(callOut);
             }
@@ -787,26 +812,26 @@
         if (!mayPushBack(rpc)) {
             outbound.abort(rpc);
         } else {
-            Span wait = deployment.backoffTold() ? deployment.longestBackoff() : Span.ZERO;
-            boolean write = rpc.method.effect() != Effect.IDEMPOTENT;
+            Span wait = deployment.retryAfterSupported() ? deployment.maxRetryAfter() : Span.ZERO;
+            boolean write = rpc.method.idempotency() != Idempotency.IDEMPOTENT;
             outbound.pushBack(rpc, write ? wait.shorter(WRITE_BACKOFF) : wait);
         }
     }
 
     /** Rule 2, for answers: a pushback says that trying again is harmless. */
     private boolean mayPushBack(Rpc rpc) {
-        return rpc.out == 0
-                && switch (rpc.method.effect()) {
+        return rpc.inFlight == 0
+                && switch (rpc.method.idempotency()) {
                     case IDEMPOTENT -> true;
-                    case TOKENED -> rpc.firstMayHaveRun == null || rpc.method.repeatsAnywhere();
-                    case NON_IDEMPOTENT -> rpc.firstMayHaveRun == null;
+                    case TOKENED -> rpc.firstPossibleRunAt == null || rpc.method.globalTokenScope();
+                    case NON_IDEMPOTENT -> rpc.firstPossibleRunAt == null;
                 };
     }
 
     private double worthNow(Rpc rpc) {
-        boolean late = now.since(rpc.arrived).longerThan(rpc.method.softDeadline());
+        boolean late = now.since(rpc.arrivedAt).longerThan(rpc.method.softDeadline());
         return (late ? rpc.method.lateUtility() : rpc.method.utility())
-                * (rpc.overShare ? deployment.overShareUtility() : 1);
+                * (rpc.overQuota ? deployment.overQuotaUtilityFactor() : 1);
     }
 
     private void place(Rpc rpc) {
@@ -818,12 +843,13 @@
         Span mean = new Span((long) meanUs[method.index()]);
         Span use =
                 method.softDeadline().minus(mean.shorter(method.softDeadline().times(LEAST_USE)));
-        Span early = rpc.deadline.since(rpc.arrived).times(UNSEEN_HOLD).minus(LOOK_EVERY.times(2));
-        Span waited = now.since(rpc.arrived);
+        Span early =
+                rpc.deadline.since(rpc.arrivedAt).times(UNSEEN_HOLD).minus(LOOK_EVERY.times(2));
+        Span waited = now.since(rpc.arrivedAt);
         boolean unseen = rpc.callOuts.isEmpty() && !waited.shorterThan(early);
         boolean useless =
                 method.lateUtility() < LATE_HOLD * method.utility() && !waited.shorterThan(use);
-        boolean shed = rpc.overShare && waited.over(method.softDeadline()) > SHED_OVER_SHARE;
+        boolean shed = rpc.overQuota && waited.ratioTo(method.softDeadline()) > SHED_OVER_SHARE;
         if (lastCall(rpc) || unseen || useless || shed && mayPushBack(rpc)) {
             step(rpc, Input.HOPELESS);
         }
@@ -850,13 +876,13 @@
 
     /** The position a read must be answered from, if sent at this time. */
     private Moment need(Rpc rpc, Moment sent) {
-        return switch (rpc.method.freshness()) {
-            case FRESH, WRITE -> rpc.arrived;
-            case BOUNDED -> sent.minus(rpc.method.bound());
+        return switch (rpc.method.consistency()) {
+            case STRONG, WRITE -> rpc.arrivedAt;
+            case BOUNDED -> sent.minus(rpc.method.maxStaleness());
             case SESSION ->
-                    deployment.sessionsRemembered() && rpc.session != null
+                    deployment.sessionCommitsTracked() && rpc.session != null
                             ? commits.getOrDefault(rpc.session, NO_COMMIT).position
-                            : rpc.token;
+                            : rpc.sessionPosition;
             case ANY -> Moment.NEVER;
         };
     }
@@ -869,7 +895,7 @@
         }
         Moment need = need(rpc, now);
         Group group = rpc.group;
-        boolean checks = deployment.hostChecks() == HostChecks.REFUSE;
+        boolean checks = deployment.staleReadPolicy() == StaleReadPolicy.REJECT;
         if (group.primary != null && group.primary.suspect && fit(rpc, group.primary)) {
             // A trial, as at a suspect replica: writes are none, and no read may need the primary
             // for long.
@@ -882,7 +908,8 @@
         if (replica != null) {
             return replica;
         }
-        boolean waited = checks && rpc.missed || !now.since(rpc.arrived).shorterThan(BRIEF_WAIT);
+        boolean waited =
+                checks && rpc.rejectedAsBehind || !now.since(rpc.arrivedAt).shorterThan(BRIEF_WAIT);
         return waited && group.primary != null && primaryHasRoomFor(rpc) && fit(rpc, group.primary)
                 ? group.primary
                 : null;
@@ -895,20 +922,21 @@
      * writes is tried again.
      */
     private boolean primaryHasRoomFor(Rpc rpc) {
-        Room pool = rpc.group.leading;
-        double part = READS_OF_PRIMARY * Math.min(pool.limit, rpc.group.primary.room.limit);
-        double strain = pool.strain.value * lasting(pool.strain, STRAIN_FADES);
+        ConcurrencyLimit pool = rpc.group.primaryPool;
+        double part = READS_OF_PRIMARY * Math.min(pool.limit, rpc.group.primary.concurrency.limit);
+        double strain = pool.latencyRatio.value * lasting(pool.latencyRatio, STRAIN_FADES);
         double most = earns(rpc.method);
         for (Method method : deployment.methods()) {
             most = primaryOnly(method) ? Math.max(most, earns(method)) : most;
         }
-        return rpc.group.primary.out.size() < Math.max(1, part)
+        return rpc.group.primary.inFlight.size() < Math.max(1, part)
                 && (part >= 1
                         || strain * Math.min(1, 2 * (1 - earns(rpc.method) / most)) < STRAINED);
     }
 
     private static boolean primaryOnly(Method method) {
-        return method.freshness() == Freshness.WRITE || method.freshness() == Freshness.FRESH;
+        return method.consistency() == Consistency.WRITE
+                || method.consistency() == Consistency.STRONG;
     }
 
     private double earns(Method method) {
@@ -929,13 +957,17 @@
                     presumed
                             ? !behind(host, need) && !triedAt(rpc, host)
                             : !host.position.before(need);
-            if (host == rpc.group.primary || host == rpc.erredAt || !passes || !fit(rpc, host)) {
+            if (host == rpc.group.primary
+                    || host == rpc.lastErrorHost
+                    || !passes
+                    || !fit(rpc, host)) {
                 continue;
             }
             if (host.suspect) {
                 return host;
             }
-            int order = best == null ? -1 : Integer.compare(host.out.size(), best.out.size());
+            int order =
+                    best == null ? -1 : Integer.compare(host.inFlight.size(), best.inFlight.size());
             weights = (order < 0 ? 0 : weights) + (order <= 0 ? chance(host) : 0);
             if (order < 0 || order == 0 && random.nextDouble() * weights < chance(host)) {
                 best = host;
@@ -959,10 +991,11 @@
      */
     private boolean behind(Host host, Moment need) {
         boolean missedLately =
-                !need.before(host.missedNeed) && now.since(host.missedAt).shorterThan(MISS_HOLDS);
+                !need.before(host.behindPosition)
+                        && now.since(host.behindAt).shorterThan(MISS_HOLDS);
         boolean lagging =
-                now.since(host.reportHeard).shorterThan(REPORT_HOLDS)
-                        && now.minus(host.lateness.minus(host.group.leastLateness)).before(need);
+                now.since(host.positionReportedAt).shorterThan(REPORT_HOLDS)
+                        && now.minus(host.lag.minus(host.group.minLag)).before(need);
         return missedLately || lagging;
     }
 
@@ -975,15 +1008,16 @@
         if (group.primary != null && sendable(group.primary)) {
             return fit(rpc, group.primary) ? group.primary : null;
         }
-        group.lastMisplaced = now;
-        boolean roundsOver = rpc.callOuts.size() >= Math.max(1, deployment.mostCallOuts() / 2);
-        if (rpc.method.freshness() == Freshness.FRESH || roundsOver) {
+        group.primaryMissingAt = now;
+        boolean roundsOver = rpc.callOuts.size() >= Math.max(1, deployment.maxCallOuts() / 2);
+        if (rpc.method.consistency() == Consistency.STRONG || roundsOver) {
             return null;
         }
         for (Host host : group.members) {
             boolean saidReplica =
-                    host.toldReplica && now.since(host.lastHeard).shorterThan(ROLE_HOLDS);
-            if (!saidReplica && !host.suspect && host.out.isEmpty() && fit(rpc, host)) {
+                    host.reportedReplica
+                            && now.since(host.lastUsefulAnswerAt).shorterThan(ROLE_HOLDS);
+            if (!saidReplica && !host.suspect && host.inFlight.isEmpty() && fit(rpc, host)) {
                 return host;
             }
         }
@@ -995,7 +1029,7 @@
      * gate.
      */
     private boolean fit(Rpc rpc, Host host) {
-        return !now.before(host.restUntil)
+        return !now.before(host.ejectedUntil)
                 && (host.suspect ? trialDue(host, rpc) : roomAt(host))
                 && gate(rpc, host);
     }
@@ -1004,13 +1038,13 @@
 
     /** The five rules, for sends. Every send passes here and nowhere else. */
     private boolean gate(Rpc rpc, Host host) {
-        return rpc.stage != Stage.OVER
+        return rpc.state != State.DONE
                 && host.group == rpc.group
-                && rpc.callOuts.size() < deployment.mostCallOuts()
-                && (rpc.out == 0
-                        || deployment.parallelCallOuts()
-                                && rpc.out < 2
-                                && rpc.method.effect() == Effect.IDEMPOTENT
+                && rpc.callOuts.size() < deployment.maxCallOuts()
+                && (rpc.inFlight == 0
+                        || deployment.parallelCallOutsAllowed()
+                                && rpc.inFlight < 2
+                                && rpc.method.idempotency() == Idempotency.IDEMPOTENT
                                 && !triedAt(rpc, host))
                 && stillBound(rpc, host)
                 && coldLets(host);
@@ -1025,9 +1059,9 @@
     }
 
     @Override
-    public boolean stillPasses(Moment time, CallOut callOut) {
+    public boolean maySendNow(Moment time, CallOut callOut) {
         now = time;
-        return callOut.rpc.stage != Stage.OVER && stillBound(callOut.rpc, callOut.host);
+        return callOut.rpc.state != State.DONE && stillBound(callOut.rpc, callOut.host);
     }
 
     /**
@@ -1035,13 +1069,13 @@
      * known.
      */
     private boolean repeatable(Rpc rpc) {
-        return rpc.firstMayHaveRun == null
-                || switch (rpc.method.effect()) {
+        return rpc.firstPossibleRunAt == null
+                || switch (rpc.method.idempotency()) {
                     case IDEMPOTENT -> true;
                     case TOKENED ->
                             now.plus(deployment.tick())
-                                    .since(rpc.firstMayHaveRun)
-                                    .shorterThan(rpc.method.repeatWindow());
+                                    .since(rpc.firstPossibleRunAt)
+                                    .shorterThan(rpc.method.tokenWindow());
                     case NON_IDEMPOTENT -> false;
                 };
     }
@@ -1051,15 +1085,15 @@
      * up.
      */
     private boolean sendable(Host host) {
-        return deployment.onlyDrainingBinds()
+        return deployment.onlyDrainingStopsSends()
                 ? !host.seenDraining
-                : host.listing == Host.Listing.READY;
+                : host.discoveryState == Host.DiscoveryState.READY;
     }
 
     /** Rule 5. A host held for the primary is excused until its own answer says otherwise. */
     private boolean freshEnough(Rpc rpc, Host host) {
-        return rpc.method.freshness() == Freshness.WRITE
-                || deployment.hostChecks() == HostChecks.REFUSE
+        return rpc.method.consistency() == Consistency.WRITE
+                || deployment.staleReadPolicy() == StaleReadPolicy.REJECT
                 || host == host.group.primary
                 || !host.position.before(need(rpc, now));
     }
@@ -1071,21 +1105,23 @@
      */
     private boolean coldLets(Host host) {
         Span age = now.since(host.startedAt);
-        Span window = deployment.fallWindow();
-        if (!age.shorterThan(deployment.warmAfter().plus(window))) {
+        Span window = deployment.coldRateWindow();
+        if (!age.shorterThan(deployment.warmUpTime().plus(window))) {
             return true;
         }
-        double warmth = Math.max(0, age.minus(window).over(deployment.warmAfter()));
-        double share = deployment.coldShare() + (1 - deployment.coldShare()) * Math.min(1, warmth);
-        double everyone = deployment.fallMultiple() * share * window.us() / 1e6 * COLD_MARGIN;
-        double ours = everyone * warmRate(host.kind) * host.size;
-        double budget = Math.max(COLD_FLOOR / deployment.routers(), ours);
+        double warmth = Math.max(0, age.minus(window).ratioTo(deployment.warmUpTime()));
+        double share =
+                deployment.coldStartShare()
+                        + (1 - deployment.coldStartShare()) * Math.min(1, warmth);
+        double everyone = deployment.coldRateMultiple() * share * window.us() / 1e6 * COLD_MARGIN;
+        double ours = everyone * warmRate(host.kind) * host.weight;
+        double budget = Math.max(COLD_FLOOR / deployment.routerCount(), ours);
         if (budget >= 1) {
-            return host.sends.within(window, now) < (int) budget;
+            return host.sends.countWithin(window, now) < (int) budget;
         }
         // Many spaced sends fall together by chance: the fewer are allowed in all, the more is left
         // free.
-        double allowed = budget * deployment.routers();
+        double allowed = budget * deployment.routerCount();
         Span gap = window.times(1 / (budget * (1 - Math.min(0.5, 1 / Math.sqrt(allowed)))));
         return !now.before(
                 host.startedAt.plus(gap.times(host.coldPhase)).later(host.sends.last().plus(gap)));
@@ -1105,15 +1141,16 @@
         Map<Integer, Double> rates = new TreeMap<>();
         Map<Integer, Double> sizes = new TreeMap<>();
         for (Host host : hosts.values()) {
-            if (sendable(host) && !now.since(host.startedAt).shorterThan(deployment.warmAfter())) {
-                sizes.merge(host.kind, host.size, Double::sum);
+            if (sendable(host) && !now.since(host.startedAt).shorterThan(deployment.warmUpTime())) {
+                sizes.merge(host.kind, host.weight, Double::sum);
                 rates.merge(
                         host.kind,
-                        host.served.value * lasting(host.served, RATE_OVER),
+                        host.recentOkCount.value * lasting(host.recentOkCount, RATE_OVER),
                         Double::sum);
             }
         }
-        double window = RATE_OVER.us() / 1e6 * (1 - Math.exp(-now.since(started).over(RATE_OVER)));
+        double window =
+                RATE_OVER.us() / 1e6 * (1 - Math.exp(-now.since(started).ratioTo(RATE_OVER)));
         rates.replaceAll((kind, served) -> window <= 0 ? 0 : served / sizes.get(kind) / window);
         return rates;
     }
@@ -1123,22 +1160,22 @@
             return false;
         }
         CallOut callOut = new CallOut(rpc, host, poolOf(host), rpc.callOuts.size(), now);
-        callOut.pool.out++;
+        callOut.pool.inFlight++;
         rpc.callOuts.add(callOut);
-        rpc.out++;
-        if (host.out.isEmpty()) {
+        rpc.inFlight++;
+        if (host.inFlight.isEmpty()) {
             working.add(host);
         }
-        host.out.add(callOut);
+        host.inFlight.add(callOut);
         if (host.suspect) {
-            host.trialsFailed++;
+            host.failedTrials++;
             putOffTrial(host);
         }
-        host.sends.note(now);
+        host.sends.record(now);
         boolean calledOff =
-                deployment.cancelAllowed()
-                        || deployment.parallelCallOuts()
-                        || rpc.method.effect() != Effect.IDEMPOTENT;
+                deployment.cancellationAllowed()
+                        || deployment.parallelCallOutsAllowed()
+                        || rpc.method.idempotency() != Idempotency.IDEMPOTENT;
         outbound.send(callOut, calledOff ? Span.ZERO : new Span((long) (SILENCE * allMeanUs)));
         step(rpc, Input.SENT);
         return true;
@@ -1147,7 +1184,7 @@
     // ---- the round of a batch
 
     @Override
-    public void settle(Moment time) {
+    public void onBatchEnd(Moment time) {
         now = time;
         boolean due = !now.before(nextLook);
         if (due) {
@@ -1176,17 +1213,18 @@
     private void placeHeld() {
         held.sort(
                 Comparator.comparingDouble((Rpc rpc) -> -worthNow(rpc))
-                        .thenComparing(Comparator.comparing((Rpc rpc) -> rpc.arrived).reversed()));
+                        .thenComparing(
+                                Comparator.comparing((Rpc rpc) -> rpc.arrivedAt).reversed()));
         new ArrayList<>(held).forEach(rpc -> step(rpc, Input.LOOK));
-        held.removeIf(rpc -> rpc.stage != Stage.HELD);
+        held.removeIf(rpc -> rpc.state != State.PENDING);
     }
 
     private void fillBuckets() {
         double seconds = now.since(bucketsFilled).us() / 1e6;
         bucketsFilled = now;
         for (Customer customer : deployment.customers()) {
-            double rate = customer.quotaPerSecond() / deployment.routers();
-            shares.get(customer.index()).fill(rate * seconds, Math.max(LEAST_SHARE, rate));
+            double rate = customer.quotaPerSecond() / deployment.routerCount();
+            shares.get(customer.index()).refill(rate * seconds, Math.max(LEAST_SHARE, rate));
         }
         if (!commits.isEmpty()) {
             commits.values()
@@ -1210,13 +1248,13 @@
         Host unheard = null;
         for (Group group : groups.values()) {
             boolean misplaced =
-                    now.since(group.lastMisplaced).shorterThan(NEWS_EVERY)
+                    now.since(group.primaryMissingAt).shorterThan(NEWS_EVERY)
                             || group.primary != null && group.primary.suspect;
             for (Host host : group.members) {
-                if (!group.used || host.probeOut || !sendable(host)) {
+                if (!group.used || host.probeInFlight || !sendable(host)) {
                     continue;
                 }
-                if (host.suspect || misplaced && deployment.probesTellPosition()) {
+                if (host.suspect || misplaced && deployment.probesReportPosition()) {
                     boolean due = !now.since(host.probedAt).shorterThan(NEWS_EVERY);
                     unheard = due ? longerUnprobed(host, unheard) : unheard;
                 } else if (host != group.primary) {
@@ -1224,13 +1262,13 @@
                 }
             }
         }
-        if (unheard != null && newsProbes.take()) {
+        if (unheard != null && newsProbes.tryTake()) {
             probe(unheard);
         }
         if (oldest != null
-                && deployment.probesTellPosition()
+                && deployment.probesReportPosition()
                 && now.since(oldest.position).longerThan(halfBound)
-                && positionProbes.take()) {
+                && positionProbes.tryTake()) {
             probe(oldest);
         }
     }
@@ -1240,8 +1278,8 @@
     }
 
     private void probe(Host host) {
-        if (deployment.probesAllowed() && !host.probeOut && sendable(host)) {
-            host.probeOut = true;
+        if (deployment.probesAllowed() && !host.probeInFlight && sendable(host)) {
+            host.probeInFlight = true;
             host.probedAt = now;
             outbound.probe(host);
         }
--- a/router/src/main/java/ironwind/adapter/Adapter.java
+++ b/router/src/main/java/ironwind/adapter/Adapter.java
@@ -2,8 +2,8 @@
 
 import ironwind.model.Deployment;
 import ironwind.model.Host;
+import ironwind.model.HostEntry;
 import ironwind.model.Moment;
-import ironwind.model.RosterEntry;
 import ironwind.start.DeploymentReader;
 import java.io.BufferedInputStream;
 import java.io.IOException;
@@ -24,7 +24,7 @@
     private final OutputStream out;
     private final StringBuilder reply = new StringBuilder();
     private final Map<Integer, RouterDoor> doors = new HashMap<>();
-    private final Map<Integer, List<RosterEntry>> lists = new HashMap<>();
+    private final Map<Integer, List<HostEntry>> lists = new HashMap<>();
     private final List<RouterDoor> touched = new ArrayList<>();
     private byte[] buffer = new byte[256];
     private long lineNumber;
@@ -128,7 +128,7 @@
     private void define(Line head) throws IOException {
         int ref = head.needSmall("ref");
         int count = head.needSmall("elements");
-        List<RosterEntry> entries = new ArrayList<>();
+        List<HostEntry> entries = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             Line item = next();
             if (item == null || !item.name().equals("ITEM")) {
@@ -143,17 +143,17 @@
         lists.put(ref, List.copyOf(entries));
     }
 
-    private static RosterEntry entry(Line item) {
+    private static HostEntry entry(Line item) {
         int health = item.small("health", 0);
-        Host.Listing listing =
+        Host.DiscoveryState listing =
                 switch (health) {
-                    case 0 -> Host.Listing.READY;
-                    case 1 -> Host.Listing.DRAINING;
-                    case 2 -> Host.Listing.GONE;
+                    case 0 -> Host.DiscoveryState.READY;
+                    case 1 -> Host.DiscoveryState.DRAINING;
+                    case 2 -> Host.DiscoveryState.GONE;
                     default -> throw item.fault("health", "has an unknown value: " + health);
                 };
         long since = item.whole("online_since_us", 0);
-        return new RosterEntry(
+        return new HostEntry(
                 item.need("host"),
                 item.small("zone", 0),
                 item.small("type", 0),
--- a/router/src/main/java/ironwind/adapter/RouterDoor.java
+++ b/router/src/main/java/ironwind/adapter/RouterDoor.java
@@ -6,13 +6,13 @@
 import ironwind.model.Deployment;
 import ironwind.model.Group;
 import ironwind.model.Host;
+import ironwind.model.HostEntry;
 import ironwind.model.Inbound;
 import ironwind.model.Method;
 import ironwind.model.Moment;
 import ironwind.model.Outbound;
 import ironwind.model.Outcome;
 import ironwind.model.Role;
-import ironwind.model.RosterEntry;
 import ironwind.model.Rpc;
 import ironwind.model.Span;
 import java.util.HashMap;
@@ -31,19 +31,19 @@
                     "app_error",
                     Outcome.ERROR,
                     "shed",
-                    Outcome.FULL,
+                    Outcome.OVERLOADED,
                     "expired",
-                    Outcome.EXPIRED,
+                    Outcome.TIMED_OUT,
                     "dial_failed",
-                    Outcome.UNREACHED,
+                    Outcome.CONNECT_FAILED,
                     "dropped",
-                    Outcome.BROKEN,
+                    Outcome.CONNECTION_LOST,
                     "revoked",
                     Outcome.CANCELLED,
                     "unused",
-                    Outcome.UNSENT,
+                    Outcome.NOT_SENT,
                     "empty",
-                    Outcome.MISS);
+                    Outcome.INELIGIBLE);
 
     /** A position travels as four times itself, plus the role. */
     private static final int NOTE_PARTS = 4;
@@ -65,16 +65,16 @@
         this.logic = new Logic(deployment, seed, this);
     }
 
-    void listed(Moment now, Line line, Map<Integer, List<RosterEntry>> lists) {
+    void listed(Moment now, Line line, Map<Integer, List<HostEntry>> lists) {
         int scope = line.needSmall("scope");
         switch (scope) {
             case 1 -> {}
             case 0, 2, 3 -> {
-                List<RosterEntry> entries = lists.get(line.needSmall("ref"));
+                List<HostEntry> entries = lists.get(line.needSmall("ref"));
                 if (entries == null) {
                     throw line.fault("ref", "names no list");
                 }
-                guard(() -> logic.listed(now, scope != 3, entries));
+                guard(() -> logic.onDiscoveryUpdate(now, scope != 3, entries));
             }
             default -> throw line.fault("scope", "has an unknown value: " + scope);
         }
@@ -110,7 +110,7 @@
                                     token,
                                     line.flag("repeat"));
                     rpcs.put(id, rpc);
-                    logic.arrived(now, rpc);
+                    logic.onRpcArrived(now, rpc);
                 });
     }
 
@@ -136,14 +136,14 @@
                 switch ((int) (note % NOTE_PARTS)) {
                     case ROLE_PRIMARY -> Role.PRIMARY;
                     case ROLE_REPLICA -> Role.REPLICA;
-                    default -> Role.UNTOLD;
+                    default -> Role.UNKNOWN;
                 };
         long ms = note / NOTE_PARTS;
         Moment position =
-                ms == 0 ? Moment.NEVER : deployment.positionZero().plus(Span.ofMillis(ms));
+                ms == 0 ? Moment.NEVER : deployment.positionEpoch().plus(Span.ofMillis(ms));
         guard(
                 () ->
-                        logic.ended(
+                        logic.onCallOutEnded(
                                 now,
                                 rpc.callOuts.get(attempt),
                                 outcome,
@@ -159,18 +159,18 @@
         boolean answered = line.need("code").equals("delivered");
         double seconds = line.reported("usage", "x0");
         double leads = line.reported("usage", "x1");
-        Role role = Double.isNaN(leads) ? Role.UNTOLD : leads >= 1 ? Role.PRIMARY : Role.REPLICA;
+        Role role = Double.isNaN(leads) ? Role.UNKNOWN : leads >= 1 ? Role.PRIMARY : Role.REPLICA;
         Moment position =
                 Double.isNaN(seconds)
                         ? Moment.NEVER
                         : deployment
-                                .positionZero()
+                                .positionEpoch()
                                 .plus(new Span((long) Math.floor(seconds * 1_000_000)));
         guard(
                 () -> {
                     Host host = logic.host(id);
                     if (host != null) {
-                        logic.probed(now, host, answered, role, position);
+                        logic.onProbeEnded(now, host, answered, role, position);
                     }
                 });
     }
@@ -178,13 +178,13 @@
     void left(Moment now, Line line) {
         Rpc rpc = rpcs.get(line.need("txn"));
         if (rpc != null) {
-            guard(() -> logic.left(now, rpc));
+            guard(() -> logic.onClientLeft(now, rpc));
             forget(rpc);
         }
     }
 
     void settle(Moment now) {
-        guard(() -> logic.settle(now));
+        guard(() -> logic.onBatchEnd(now));
     }
 
     /**
@@ -209,7 +209,7 @@
     }
 
     private void forget(Rpc rpc) {
-        if (rpc.stage == Rpc.Stage.OVER && rpc.out == 0) {
+        if (rpc.state == Rpc.State.DONE && rpc.inFlight == 0) {
             rpcs.remove(rpc.id);
         }
     }
@@ -245,7 +245,7 @@
                 .append("\ttxn=")
                 .append(callOut.rpc.id)
                 .append("\tseq_no=")
-                .append(callOut.number)
+                .append(callOut.attempt)
                 .append('\n');
     }
 
@@ -271,7 +271,7 @@
     }
 
     @Override
-    public void closeIdle(Host host) {
+    public void closeIdleConnections(Host host) {
         action("SHUT_IDLE").append("\thost=").append(host.id).append('\n');
     }
 
--- a/router/src/main/java/ironwind/idle/Keeper.java
+++ b/router/src/main/java/ironwind/idle/Keeper.java
@@ -1,7 +1,7 @@
 package ironwind.idle;
 
-import ironwind.model.Bucket;
 import ironwind.model.Span;
+import ironwind.model.TokenBucket;
 import java.util.EnumMap;
 import java.util.HashMap;
 import java.util.Map;
@@ -29,12 +29,12 @@
     private final Map<Object, Share> addresses = new HashMap<>();
     private final Map<Object, Share> customers = new HashMap<>();
     private int inside;
-    private final Bucket newcomers;
+    private final TokenBucket newcomers;
     private long filledAt;
 
     public Keeper(Limits limits) {
         this.limits = limits;
-        this.newcomers = new Bucket(limits.newAtOnce());
+        this.newcomers = new TokenBucket(limits.newAtOnce());
         for (Standing standing : Standing.values()) {
             chains.put(standing, new Chain(standing));
         }
@@ -48,19 +48,19 @@
     /** Whether one more may be taken from the system's queue now. */
     public boolean opens(long now) {
         fill(now);
-        return limits.newPerSecond() == 0 || !newcomers.empty();
+        return limits.newPerSecond() == 0 || !newcomers.isEmpty();
     }
 
     /** How long until then; at least a millisecond. */
     public Span opensIn(long now) {
         fill(now);
-        double seconds = newcomers.missing() / Math.max(1, limits.newPerSecond());
+        double seconds = newcomers.deficit() / Math.max(1, limits.newPerSecond());
         return new Span((long) (seconds * MILLION)).longer(Span.ofMillis(1));
     }
 
     private void fill(long now) {
         double gained = (now - filledAt) / MILLION * limits.newPerSecond();
-        newcomers.fill(gained, Math.max(1, limits.newAtOnce()));
+        newcomers.refill(gained, Math.max(1, limits.newAtOnce()));
         filledAt = now;
     }
 
@@ -79,7 +79,7 @@
     /** Lets one in. */
     public void enter(Peer peer, Object address, long now) {
         fill(now);
-        newcomers.take();
+        newcomers.tryTake();
         peer.address = addresses.computeIfAbsent(address, Share::new);
         peer.address.connections++;
         inside++;
--- a/router/src/main/java/ironwind/model/CallOut.java
+++ b/router/src/main/java/ironwind/model/CallOut.java
@@ -1,27 +1,45 @@
 package ironwind.model;
 
-/** One sending of an RPC to a host. State only. */
+/** One attempt to run an RPC on a host. Plain state, written by the decision logic. */
 public final class CallOut {
+    /** The RPC that is sent. */
     public final Rpc rpc;
+
+    /** The host that it is sent to. */
     public final Host host;
 
-    /** The router-wide room it takes up. */
-    public final Room pool;
+    /**
+     * The router's limit for the primary or for all replicas of the group, which this counts
+     * against.
+     */
+    public final ConcurrencyLimit pool;
+
+    /** Index among the RPC's call-outs, from 0. */
+    public final int attempt;
+
+    /** When the call-out was handed over for sending. */
+    public final Moment sentAt;
 
-    public final int number;
-    public final Moment sent;
+    /** Whether its outcome is known. */
     public boolean ended;
+
+    /** Whether its cancellation has been requested. */
     public boolean cancelled;
+
+    /**
+     * Whether it has been counted as slower than the soft deadline, or was rejected as overload.
+     */
     public boolean overdue;
 
-    /** Out at a host that went silent: no longer counted in its pool. */
-    public boolean stranded;
+    /** Whether its slot in the pool was released early, because its host became suspect. */
+    public boolean releasedFromPool;
 
-    public CallOut(Rpc rpc, Host host, Room pool, int number, Moment sent) {
+    /** Creates a call-out that is in flight. */
+    public CallOut(Rpc rpc, Host host, ConcurrencyLimit pool, int attempt, Moment sentAt) {
         this.rpc = rpc;
         this.host = host;
         this.pool = pool;
-        this.number = number;
-        this.sent = sent;
+        this.attempt = attempt;
+        this.sentAt = sentAt;
     }
 }
--- a/router/src/main/java/ironwind/model/Group.java
+++ b/router/src/main/java/ironwind/model/Group.java
@@ -3,26 +3,39 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A primary and its replicas. State only. */
+/** A primary and its replicas. Plain state, written by the decision logic. */
 public final class Group {
+    /** The group's number in discovery. */
     public final int number;
 
-    /** In id order. */
+    /** All known members, ordered by id. */
     public final List<Host> members = new ArrayList<>();
 
+    /** The member believed to be the primary; null if none is known. */
     public Host primary;
-    public Moment primaryTold = Moment.NEVER;
 
-    /** Room at the primary, and at all replicas together. */
-    public Room leading = new Room(Double.MAX_VALUE);
+    /**
+     * Time of the newest evidence for the primary; {@link Moment#NEVER} if discovery alone names
+     * it.
+     */
+    public Moment primaryReportedAt = Moment.NEVER;
 
-    public final Room following = new Room(Double.MAX_VALUE);
-    public Span leastLateness = Span.ZERO;
+    /** Limits this router's call-outs to the primary; replaced when the primary changes. */
+    public ConcurrencyLimit primaryPool = new ConcurrencyLimit(Double.MAX_VALUE);
+
+    /** Limits this router's call-outs to all replicas together. */
+    public final ConcurrencyLimit replicaPool = new ConcurrencyLimit(Double.MAX_VALUE);
+
+    /** Smallest lag among the recent position reports of the members. */
+    public Span minLag = Span.ZERO;
+
+    /** Whether an RPC has arrived for the group; unused groups are not probed. */
     public boolean used;
 
-    /** When a write or a fresh read last found no known primary. */
-    public Moment lastMisplaced = Moment.NEVER;
+    /** When a write or a strong read last found no known primary. */
+    public Moment primaryMissingAt = Moment.NEVER;
 
+    /** Creates a group without members. */
     public Group(int number) {
         this.number = number;
     }
--- a/router/src/main/java/ironwind/model/Host.java
+++ b/router/src/main/java/ironwind/model/Host.java
@@ -3,82 +3,129 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/**
- * One database host, as this router knows it. State only: the decision module writes every field.
- */
+/** One database host as this router knows it. Plain state, written by the decision logic. */
 public final class Host {
+    /** The host's id in discovery. */
     public final String id;
+
+    /** The group that it belongs to; null until discovery has named it. */
     public Group group;
+
+    /** Index of its kind in discovery; the rates of warm hosts are pooled within a kind. */
     public int kind;
-    public double size = 1;
 
-    /** The list's word. */
-    public Listing listing = Listing.READY;
+    /** Capacity relative to other hosts of its kind. */
+    public double weight = 1;
 
+    /** State in the last discovery update that named it, or that was complete without it. */
+    public DiscoveryState discoveryState = DiscoveryState.READY;
+
+    /** Whether it has been listed as draining since it was last listed as ready. */
     public boolean seenDraining;
+
+    /** Whether discovery lists it as the primary. */
     public boolean listedPrimary;
+
+    /** When it was started; {@link Moment#NEVER} if unknown. */
     public Moment startedAt = Moment.NEVER;
 
-    /** Role and log position. */
-    public boolean toldReplica;
+    /** Whether the host has reported that it is a replica. */
+    public boolean reportedReplica;
 
+    /** Log position that it is known to have applied at least. */
     public Moment position = Moment.NEVER;
-    public Moment reportHeard = Moment.NEVER;
 
-    /** How old the reported position was when it was heard. */
-    public Span lateness = Span.ZERO;
+    /** When a probe last returned its position. */
+    public Moment positionReportedAt = Moment.NEVER;
+
+    /** Age of that position when it was received. */
+    public Span lag = Span.ZERO;
+
+    /** When it last rejected a read as too far behind; reset once it has served such a read. */
+    public Moment behindAt = Moment.NEVER;
 
-    public Moment missedAt = Moment.NEVER;
+    /** The position that the rejected read required. */
+    public Moment behindPosition = Moment.NEVER;
 
-    /** The position it was found not to have reached. */
-    public Moment missedNeed = Moment.NEVER;
+    /** This router's call-outs that it has not answered yet, oldest first. */
+    public final List<CallOut> inFlight = new ArrayList<>();
 
-    /** Work of ours that it holds, oldest first, and how it has been answering. */
-    public final List<CallOut> out = new ArrayList<>();
+    /**
+     * When it last answered a call-out with something other than an error or an overload rejection.
+     */
+    public Moment lastUsefulAnswerAt = Moment.NEVER;
 
-    public Moment lastHeard = Moment.NEVER;
-    public final Mean answerUs = new Mean(0);
+    /** Smoothed response time in microseconds. */
+    public final MovingAverage responseTimeUs = new MovingAverage(0);
 
-    /** The same of all hosts in its zone. */
-    public Mean zoneAnswerUs;
+    /** Smoothed response time of all hosts in its zone, in microseconds; shared between them. */
+    public MovingAverage zoneResponseTimeUs;
 
-    /** Call-outs it has served us lately, fading. */
-    public final Mean served = new Mean(0);
+    /** Exponentially decaying count of the call-outs that it answered ok. */
+    public final MovingAverage recentOkCount = new MovingAverage(0);
 
-    public final Room room = new Room(0);
+    /** Limits this router's call-outs to the host. */
+    public final ConcurrencyLimit concurrency = new ConcurrencyLimit(0);
 
-    /** Suspicion: silent or unreachable since, next trial, and what the last probe said. */
+    /**
+     * Whether it is suspected to be down, because it is silent or unreachable; then only trials are
+     * sent.
+     */
     public boolean suspect;
 
+    /** When it became suspect. */
     public Moment suspectSince = Moment.NEVER;
-    public Moment nextTrial = Moment.NEVER;
-    public int trialsFailed;
-    public boolean probeOut;
+
+    /** Earliest time of the next trial of a suspect host. */
+    public Moment nextTrialAt = Moment.NEVER;
+
+    /** Trials that failed in a row; increases the time until the next one. */
+    public int failedTrials;
+
+    /** Whether a probe is in flight. */
+    public boolean probeInFlight;
+
+    /** When it was last probed. */
     public Moment probedAt = Moment.NEVER;
-    public boolean probeAnswered;
 
-    /** The last call-out to it was refused a connection at once. */
-    public boolean refused;
+    /** Whether it answered the last probe. */
+    public boolean lastProbeAnswered;
+
+    /**
+     * Whether it refused the connection of the last call-out immediately, and is to be probed for
+     * the cause.
+     */
+    public boolean connectionRefused;
+
+    /** Ejections since the last useful answer; each doubles the time of the next. */
+    public int consecutiveEjections;
 
-    /** Answers in a row that were no use, and the rest that follows from them. */
-    public int refusals;
+    /** Error answers since the last useful answer. */
+    public int consecutiveErrors;
 
-    public int errors;
-    public Moment restUntil = Moment.NEVER;
+    /** Until when nothing is sent to it after rejections or errors. */
+    public Moment ejectedUntil = Moment.NEVER;
 
-    /** Sends, for the budget of a cold host, and where in a gap between them the first may fall. */
+    /** Times of the latest sends, for the rate limit of a cold host. */
     public final SendLog sends = new SendLog();
 
+    /**
+     * Random phase of the first send to a cold host, as a fraction of the gap between two sends.
+     */
     public double coldPhase;
 
+    /** Creates a host that belongs to no group yet. */
     public Host(String id) {
         this.id = id;
     }
 
-    /** What the list says of a host. */
-    public enum Listing {
+    /** State of a host in discovery. */
+    public enum DiscoveryState {
+        /** Takes RPCs. */
         READY,
+        /** Finishes its work and takes no new RPCs. */
         DRAINING,
+        /** Removed from discovery. */
         GONE
     }
 }
--- a/router/src/main/java/ironwind/model/Inbound.java
+++ b/router/src/main/java/ironwind/model/Inbound.java
@@ -2,28 +2,42 @@
 
 import java.util.List;
 
-/** What comes into the decision module. Every call of a batch carries the batch's time. */
+/**
+ * Events for the decision logic. Events come in batches: all calls of a batch have the same time,
+ * and {@link #onBatchEnd} is the last.
+ */
 public interface Inbound {
-    /** The list's news: all of it, or changed entries only. */
-    void listed(Moment now, boolean complete, List<RosterEntry> entries);
+    /**
+     * Discovery has sent an update.
+     *
+     * @param complete whether the entries are the whole list; otherwise only those that changed
+     */
+    void onDiscoveryUpdate(Moment now, boolean complete, List<HostEntry> entries);
 
-    /** The host of this id, or null where no list has named it. */
+    /** Returns the host with this id, or null if no discovery update has named it. */
     Host host(String id);
 
-    /** The group of this number, or null where no list has named it. */
+    /** Returns the group with this number, or null if no discovery update has named it. */
     Group group(int number);
 
-    /** A client's RPC has come. */
-    void arrived(Moment now, Rpc rpc);
+    /** An RPC of a client has arrived. */
+    void onRpcArrived(Moment now, Rpc rpc);
 
-    /** Whether a call-out whose connection took time to come up may still be written to it. */
-    boolean stillPasses(Moment now, CallOut callOut);
+    /**
+     * Whether a call-out may still be written once its connection, which took time, is established.
+     */
+    boolean maySendNow(Moment now, CallOut callOut);
 
     /**
-     * A call-out has ended. {@code closed}: the RPC's final answer has gone out with this outcome
-     * or before.
+     * A call-out has ended.
+     *
+     * @param closed whether the client has received the final answer to the RPC, from this call-out
+     *     or earlier
+     * @param role role that the host reported with its answer
+     * @param position log position that it reported; {@link Moment#NEVER} for none
+     * @param took time from sending to the outcome
      */
-    void ended(
+    void onCallOutEnded(
             Moment now,
             CallOut callOut,
             Outcome outcome,
@@ -32,12 +46,17 @@
             Moment position,
             Span took);
 
-    /** A probe has ended; role and position as the host's report had them, where it had any. */
-    void probed(Moment now, Host host, boolean answered, Role role, Moment position);
+    /**
+     * A probe has ended.
+     *
+     * @param role role in the host's load report; {@link Role#UNKNOWN} if it has none
+     * @param position log position in the load report; {@link Moment#NEVER} if it has none
+     */
+    void onProbeEnded(Moment now, Host host, boolean answered, Role role, Moment position);
 
-    /** The client is gone: nothing more is owed. */
-    void left(Moment now, Rpc rpc);
+    /** The client has disconnected; the RPC needs no answer any more. */
+    void onClientLeft(Moment now, Rpc rpc);
 
-    /** All events of this batch are in. */
-    void settle(Moment now);
+    /** All events of the batch have been delivered; waiting RPCs are sent or answered where due. */
+    void onBatchEnd(Moment now);
 }
--- a/router/src/main/java/ironwind/model/Outcome.java
+++ b/router/src/main/java/ironwind/model/Outcome.java
@@ -2,24 +2,33 @@
 
 /** How a call-out ended. */
 public enum Outcome {
+    /** The host served the RPC. */
     OK(false, true),
+    /** The host answered with an error. */
     ERROR(false, true),
-    FULL(true, true),
-    EXPIRED(false, false),
-    UNREACHED(true, false),
-    BROKEN(false, false),
+    /** The host rejected the RPC because of overload. */
+    OVERLOADED(true, true),
+    /** No answer came within the call-out's timeout. */
+    TIMED_OUT(false, false),
+    /** No connection could be established. */
+    CONNECT_FAILED(true, false),
+    /** The connection broke after the request was written, or its answer was malformed. */
+    CONNECTION_LOST(false, false),
+    /** The router cancelled the call-out. */
     CANCELLED(false, false),
-    UNSENT(true, false),
-    MISS(true, true);
+    /** The call-out was given up before its request was written. */
+    NOT_SENT(true, false),
+    /** The host rejected the RPC because it isn't the primary or is too far behind. */
+    INELIGIBLE(true, true);
 
-    /** Proves that the RPC never ran there. */
-    public final boolean provesUnrun;
+    /** Whether the outcome proves that the RPC did not run on the host. */
+    public final boolean provesNotRun;
 
-    /** The host itself answered. */
+    /** Whether the host itself answered. */
     public final boolean answered;
 
-    Outcome(boolean provesUnrun, boolean answered) {
-        this.provesUnrun = provesUnrun;
+    Outcome(boolean provesNotRun, boolean answered) {
+        this.provesNotRun = provesNotRun;
         this.answered = answered;
     }
 }
--- a/router/src/main/java/ironwind/model/Role.java
+++ b/router/src/main/java/ironwind/model/Role.java
@@ -1,8 +1,11 @@
 package ironwind.model;
 
-/** A host's word on its own role. */
+/** Role that a host reports for itself. */
 public enum Role {
-    UNTOLD,
+    /** The host reported no role. */
+    UNKNOWN,
+    /** Accepts writes. */
     PRIMARY,
+    /** Follows a primary and serves reads only. */
     REPLICA
 }
--- a/router/src/main/java/ironwind/model/Rpc.java
+++ b/router/src/main/java/ironwind/model/Rpc.java
@@ -3,72 +3,102 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** One client RPC. State only, but for the facts it came with. */
+/**
+ * One RPC of a client. The final fields come with the request; the others are plain state, written
+ * by the decision logic unless noted.
+ */
 public final class Rpc {
+    /** The client's id for the RPC. */
     public final String id;
+
+    /** The method that it calls. */
     public final Method method;
+
+    /** The customer that it counts for; null for none. */
     public final Customer customer;
+
+    /** The group that must answer it. */
     public final Group group;
+
+    /** The client's session; null for none. */
     public final String session;
-    public final Moment arrived;
 
-    /** Its client's, or sooner where the router itself ends. */
+    /** When it arrived. */
+    public final Moment arrivedAt;
+
+    /**
+     * The client's deadline, or the end of the router's own run if that is earlier; set by the
+     * caller.
+     */
     public Moment deadline;
 
-    /** The position a session read must see; {@link Moment#NEVER} for none. */
-    public final Moment token;
+    /** The log position that a session read must see; {@link Moment#NEVER} for none. */
+    public final Moment sessionPosition;
+
+    /** Whether the client marked it as a retry. */
+    public final boolean clientRetry;
 
-    public final boolean repeat;
+    /**
+     * Whether there was no memory or time left to hold it when it arrived, so that it is answered
+     * at once and never sent. Set by the caller.
+     */
+    public boolean rejectOnArrival;
 
-    /** It came when there was no memory or time left to hold it: only its answer is owed. */
-    public boolean roomless;
+    /** Where it is in its life cycle. */
+    public State state = State.PENDING;
 
-    public Stage stage = Stage.HELD;
-    public boolean overShare;
+    /** Whether it exceeds its customer's quota. */
+    public boolean overQuota;
+
+    /** All its call-outs, in the order of sending. */
     public final List<CallOut> callOuts = new ArrayList<>();
-    public int out;
 
-    /** Sent at, of the first call-out that may have run. */
-    public Moment firstMayHaveRun;
+    /** Number of its call-outs in flight. */
+    public int inFlight;
+
+    /** When the first call-out was sent that may have run; null if none may have. */
+    public Moment firstPossibleRunAt;
 
-    /** A host found itself too far behind for it. */
-    public boolean missed;
+    /** Whether a host rejected it as too far behind. */
+    public boolean rejectedAsBehind;
 
-    /** The last host that answered it with an error, and whether a second has. */
-    public Host erredAt;
+    /** The last host that answered it with an error; null for none. */
+    public Host lastErrorHost;
 
-    public boolean errsAnywhere;
+    /** Whether its last two errors came from different hosts. */
+    public boolean erredOnTwoHosts;
 
+    /** Creates an RPC that has no call-outs yet. */
     public Rpc(
             String id,
             Method method,
             Customer customer,
             Group group,
             String session,
-            Moment arrived,
+            Moment arrivedAt,
             Moment deadline,
-            Moment token,
-            boolean repeat) {
+            Moment sessionPosition,
+            boolean clientRetry) {
         this.id = id;
         this.method = method;
         this.customer = customer;
         this.group = group;
         this.session = session;
-        this.arrived = arrived;
+        this.arrivedAt = arrivedAt;
         this.deadline = deadline;
-        this.token = token;
-        this.repeat = repeat;
+        this.sessionPosition = sessionPosition;
+        this.clientRetry = clientRetry;
     }
 
-    /** Where an RPC stands. */
-    public enum Stage {
-        /** No call-out is out. */
-        HELD,
-        /** One call-out is out. */
-        OUT,
-        /** Two are out. */
-        TWICE_OUT,
-        /** Its final answer is given. */
-        OVER
+    /** Life cycle of an RPC. */
+    public enum State {
+        /** No call-out is in flight; the RPC waits to be sent or answered. */
+        PENDING,
+        /** One call-out is in flight. */
+        IN_FLIGHT,
+        /** Two call-outs are in flight. */
+        HEDGED,
+        /** The final answer has been given, or the client has left. */
+        DONE
     }
 }
--- a/router/src/main/java/ironwind/model/SendLog.java
+++ b/router/src/main/java/ironwind/model/SendLog.java
@@ -1,31 +1,33 @@
 package ironwind.model;
 
-/** The times of a host's latest sends. State only. */
+/** Ring buffer with the times of the latest 128 sends to a host. */
 public final class SendLog {
     private final Moment[] times = new Moment[128];
     private int head;
     private int count;
 
-    public void note(Moment time) {
+    /** Records a send; times must not decrease. */
+    public void record(Moment time) {
         times[head] = time;
         head = (head + 1) % times.length;
         count = Math.min(times.length, count + 1);
     }
 
+    /** Returns the time of the last send, or {@link Moment#NEVER} if there was none. */
     public Moment last() {
-        return count == 0 ? Moment.NEVER : back(0);
+        return count == 0 ? Moment.NEVER : recent(0);
     }
 
-    /** How many were no longer ago than the window; at most as many as are kept. */
-    public int within(Span window, Moment now) {
-        int found = 0;
-        while (found < count && !now.since(back(found)).longerThan(window)) {
-            found++;
+    /** Returns how many sends are no older than the window; at most the number kept. */
+    public int countWithin(Span window, Moment now) {
+        int recentCount = 0;
+        while (recentCount < count && !now.since(recent(recentCount)).longerThan(window)) {
+            recentCount++;
         }
-        return found;
+        return recentCount;
     }
 
-    private Moment back(int steps) {
-        return times[(head - 1 - steps + 2 * times.length) % times.length];
+    private Moment recent(int stepsBack) {
+        return times[(head - 1 - stepsBack + 2 * times.length) % times.length];
     }
 }
--- a/router/src/main/java/ironwind/model/package-info.java
+++ b/router/src/main/java/ironwind/model/package-info.java
@@ -1,6 +1,7 @@
 /**
- * Types and state without decisions. What {@link ironwind.model.Inbound} brings in, what {@link
- * ironwind.model.Outbound} takes out, the facts read at start, and plain state holders whose fields
- * the decision module alone writes.
+ * Data types and state of the decision logic, without decisions. {@link ironwind.model.Inbound} is
+ * the interface for events, {@link ironwind.model.Outbound} the one for requested actions. The
+ * remaining types are the configuration and mutable state that, unless a field says otherwise, only
+ * the decision logic writes.
  */
 package ironwind.model;
--- a/router/src/main/java/ironwind/net/Clients.java
+++ b/router/src/main/java/ironwind/net/Clients.java
@@ -12,7 +12,7 @@
 import ironwind.idle.SteadyTime;
 import ironwind.idle.Turns;
 import ironwind.model.Customer;
-import ironwind.model.Effect;
+import ironwind.model.Idempotency;
 import ironwind.model.Method;
 import ironwind.model.Moment;
 import ironwind.model.Span;
@@ -207,7 +207,7 @@
                     address,
                     "open",
                     keeper.inside());
-            client.turnAway(refusal, facts.deployment().longestBackoff());
+            client.turnAway(refusal, facts.deployment().maxRetryAfter());
         } else if (dismissing) {
             client.dismiss();
         }
@@ -453,7 +453,7 @@
                     PgFault.SYNTAX,
                     "the comment's d is far beyond its method's deadline: " + waits.us());
         }
-        if (method.effect() == Effect.TOKENED) {
+        if (method.idempotency() == Idempotency.TOKENED) {
             statement.need("k");
         }
         long after =
--- a/router/src/main/java/ironwind/net/Discovery.java
+++ b/router/src/main/java/ironwind/net/Discovery.java
@@ -11,9 +11,9 @@
 import io.vertx.core.http.RequestOptions;
 import io.vertx.core.json.JsonArray;
 import io.vertx.core.json.JsonObject;
-import ironwind.model.Host.Listing;
+import ironwind.model.Host.DiscoveryState;
+import ironwind.model.HostEntry;
 import ironwind.model.Moment;
-import ironwind.model.RosterEntry;
 import ironwind.net.Counters.Count;
 import ironwind.start.Address;
 import ironwind.start.Names;
@@ -162,11 +162,11 @@
     private void tell(JsonObject answer) {
         JsonArray servers = answer.getJsonArray("servers");
         boolean full = answer.getBoolean("full", true);
-        List<RosterEntry> entries = new ArrayList<>();
+        List<HostEntry> entries = new ArrayList<>();
         Map<String, Address> addresses = new HashMap<>();
         for (int i = 0; i < servers.size(); i++) {
             JsonObject server = servers.getJsonObject(i);
-            RosterEntry entry = entry(server);
+            HostEntry entry = entry(server);
             entries.add(entry);
             addresses.put(entry.id(), Address.parse(server.getString("addr")));
         }
@@ -177,18 +177,18 @@
         }
     }
 
-    private RosterEntry entry(JsonObject server) {
+    private HostEntry entry(JsonObject server) {
         String state = server.getString("state");
-        Listing listing =
+        DiscoveryState listing =
                 switch (state) {
-                    case "Ready" -> Listing.READY;
-                    case "Terminating" -> Listing.DRAINING;
-                    case "Gone" -> Listing.GONE;
+                    case "Ready" -> DiscoveryState.READY;
+                    case "Terminating" -> DiscoveryState.DRAINING;
+                    case "Gone" -> DiscoveryState.GONE;
                     default -> throw new IllegalArgumentException("unknown state " + state);
                 };
         long startedMs = server.getLong("started_ms", 0L);
         Moment started = startedMs == 0 ? Moment.NEVER : Moment.ofMillis(startedMs);
-        return new RosterEntry(
+        return new HostEntry(
                 server.getString("id"),
                 index(names.zones(), server.getString("zone")),
                 index(names.kinds(), server.getString("kind")),
--- a/router/src/main/java/ironwind/net/Ending.java
+++ b/router/src/main/java/ironwind/net/Ending.java
@@ -37,14 +37,14 @@
     public Outcome outcome() {
         return switch (this) {
             case SERVED -> Outcome.OK;
-            case MISSED -> Outcome.MISS;
+            case MISSED -> Outcome.INELIGIBLE;
             case FAILED -> Outcome.ERROR;
-            case TURNED_AWAY -> Outcome.FULL;
-            case REFUSED, NEVER_UP, NO_SOCKET, BROKE_UNWRITTEN -> Outcome.UNREACHED;
-            case BROKE_WRITTEN, GARBLED -> Outcome.BROKEN;
-            case TIMED_OUT -> Outcome.EXPIRED;
+            case TURNED_AWAY -> Outcome.OVERLOADED;
+            case REFUSED, NEVER_UP, NO_SOCKET, BROKE_UNWRITTEN -> Outcome.CONNECT_FAILED;
+            case BROKE_WRITTEN, GARBLED -> Outcome.CONNECTION_LOST;
+            case TIMED_OUT -> Outcome.TIMED_OUT;
             case CALLED_OFF -> Outcome.CANCELLED;
-            case LAPSED -> Outcome.UNSENT;
+            case LAPSED -> Outcome.NOT_SENT;
             case IDLE_CLOSED,
                     CLOSED_BY_HOST,
                     SURPLUS,
--- a/router/src/main/java/ironwind/net/HostWord.java
+++ b/router/src/main/java/ironwind/net/HostWord.java
@@ -74,7 +74,7 @@
         return switch (parameters.getOrDefault("role", "")) {
             case "primary" -> Role.PRIMARY;
             case "replica" -> Role.REPLICA;
-            default -> Role.UNTOLD;
+            default -> Role.UNKNOWN;
         };
     }
 
@@ -87,7 +87,7 @@
     Role reportedRole() {
         BigDecimal leads = number(reported("x1"));
         return leads == null
-                ? Role.UNTOLD
+                ? Role.UNKNOWN
                 : leads.compareTo(BigDecimal.ONE) >= 0 ? Role.PRIMARY : Role.REPLICA;
     }
 
--- a/router/src/main/java/ironwind/net/LogicTask.java
+++ b/router/src/main/java/ironwind/net/LogicTask.java
@@ -4,13 +4,13 @@
 import ironwind.model.Customer;
 import ironwind.model.Deployment;
 import ironwind.model.Host;
+import ironwind.model.HostEntry;
 import ironwind.model.Inbound;
 import ironwind.model.Method;
 import ironwind.model.Moment;
 import ironwind.model.Outbound;
 import ironwind.model.Outcome;
 import ironwind.model.Role;
-import ironwind.model.RosterEntry;
 import ironwind.model.Rpc;
 import ironwind.model.Span;
 import ironwind.net.Counters.Count;
@@ -131,7 +131,7 @@
         for (Event event = queue.poll(); event != null; event = queue.poll()) {
             guard(event.concerned, event.act);
         }
-        guard(null, logic::settle);
+        guard(null, logic::onBatchEnd);
     }
 
     /** An exception that nothing expected is told once, and what it concerns is still answered. */
@@ -182,12 +182,12 @@
 
     // ---- what comes in
 
-    void listed(boolean complete, List<RosterEntry> entries, Runnable before) {
+    void listed(boolean complete, List<HostEntry> entries, Runnable before) {
         put(
                 null,
                 time -> {
                     before.run();
-                    logic.listed(time, complete, entries);
+                    logic.onDiscoveryUpdate(time, complete, entries);
                     hosts.letGo(id -> logic.host(id) == null);
                 });
     }
@@ -219,11 +219,11 @@
                                     time.plus(asked.waits).minus(asked.waited).earlier(lastAnswer),
                                     asked.after <= 0 ? Moment.NEVER : Moment.ofMillis(asked.after),
                                     asked.repeat);
-                    rpc.roomless = asked.roomless;
+                    rpc.rejectOnArrival = asked.roomless;
                     exchange.rpc = rpc;
                     exchanges.put(rpc, exchange);
                     watch(exchange);
-                    logic.arrived(time, rpc);
+                    logic.onRpcArrived(time, rpc);
                 });
     }
 
@@ -240,8 +240,8 @@
      * before this.
      */
     private void overdue(Moment time, Exchange exchange) {
-        logic.settle(time);
-        if (exchange.rpc.stage != Rpc.Stage.OVER && !exchange.isAnswered()) {
+        logic.onBatchEnd(time);
+        if (exchange.rpc.state != Rpc.State.DONE && !exchange.isAnswered()) {
             throw new IllegalStateException("no answer by the deadline of " + exchange.rpc.id);
         }
     }
@@ -254,9 +254,9 @@
                 null,
                 time -> {
                     freeId(exchange);
-                    if (exchange.rpc != null && exchange.rpc.stage != Rpc.Stage.OVER) {
+                    if (exchange.rpc != null && exchange.rpc.state != Rpc.State.DONE) {
                         counters.add(Count.LEFT);
-                        logic.left(time, exchange.rpc);
+                        logic.onClientLeft(time, exchange.rpc);
                         forget(exchange.rpc);
                     }
                 });
@@ -268,7 +268,7 @@
                 sending.exchange,
                 time -> {
                     if (!sending.isOver()) {
-                        if (logic.stillPasses(time, sending.callOut)) {
+                        if (logic.maySendNow(time, sending.callOut)) {
                             sending.write(time);
                         } else {
                             sending.leave();
@@ -283,7 +283,7 @@
     }
 
     void probed(Host host, boolean answered, Role role, Moment position) {
-        put(null, time -> logic.probed(time, host, answered, role, position));
+        put(null, time -> logic.onProbeEnded(time, host, answered, role, position));
     }
 
     private void close(Moment time, Sending sending, Ending ending, HostWord word) {
@@ -291,21 +291,21 @@
         Rpc rpc = callOut.rpc;
         Outcome outcome = ending.outcome();
         sendings.remove(callOut);
-        boolean open = rpc.stage != Rpc.Stage.OVER;
+        boolean open = rpc.state != Rpc.State.DONE;
         if (outcome == Outcome.OK && open) {
             answer(sending.exchange, Count.OK, Encoder.rowInParts(word.row()));
         }
         // What can't be read tells nothing: neither a role nor a position.
-        Role role = outcome.answered ? word.role() : Role.UNTOLD;
+        Role role = outcome.answered ? word.role() : Role.UNKNOWN;
         Moment position = outcome.answered ? word.position(time) : Moment.NEVER;
-        logic.ended(
+        logic.onCallOutEnded(
                 time,
                 callOut,
                 outcome,
                 !open || outcome == Outcome.OK,
                 role,
                 position,
-                time.since(callOut.sent));
+                time.since(callOut.sentAt));
         forget(rpc);
     }
 
@@ -365,7 +365,7 @@
     }
 
     private void forget(Rpc rpc) {
-        if (rpc.stage == Rpc.Stage.OVER && rpc.out == 0) {
+        if (rpc.state == Rpc.State.DONE && rpc.inFlight == 0) {
             exchanges.remove(rpc);
         }
     }
@@ -374,12 +374,12 @@
     public void probe(Host host) {
         counters.add(Count.PROBES);
         Probe probe = new Probe(this, host);
-        String question = deployment.probesTellPosition() ? Probe.FOR_REPORT : Probe.FOR_LIFE;
+        String question = deployment.probesReportPosition() ? Probe.FOR_REPORT : Probe.FOR_LIFE;
         probe.begin(hosts, question, timers.after(probeTime, probe::giveUp));
     }
 
     @Override
-    public void closeIdle(Host host) {
+    public void closeIdleConnections(Host host) {
         hosts.closeIdle(host.id);
     }
 
--- a/router/src/main/java/ironwind/net/Probe.java
+++ b/router/src/main/java/ironwind/net/Probe.java
@@ -51,7 +51,7 @@
         task.probed(
                 host,
                 answered,
-                answered ? word.reportedRole() : Role.UNTOLD,
+                answered ? word.reportedRole() : Role.UNKNOWN,
                 answered ? word.reportedPosition(Clock.read()) : Moment.NEVER);
     }
 }
--- a/router/src/main/java/ironwind/net/Rehearsal.java
+++ b/router/src/main/java/ironwind/net/Rehearsal.java
@@ -3,12 +3,12 @@
 import io.netty.channel.IoEventLoop;
 import ironwind.idle.Budget;
 import ironwind.model.Customer;
-import ironwind.model.Host.Listing;
+import ironwind.model.Host.DiscoveryState;
+import ironwind.model.HostEntry;
 import ironwind.model.Inbound;
 import ironwind.model.Method;
 import ironwind.model.Moment;
 import ironwind.model.Outbound;
-import ironwind.model.RosterEntry;
 import ironwind.model.Span;
 import ironwind.pg.Encoder;
 import ironwind.pg.Row;
@@ -92,16 +92,16 @@
 
     /** Begins, with the router's own address as that of all hosts. */
     void start(Address door) {
-        List<RosterEntry> list =
+        List<HostEntry> list =
                 HOSTS.stream()
                         .map(
                                 id ->
-                                        new RosterEntry(
+                                        new HostEntry(
                                                 id,
                                                 0,
                                                 0,
                                                 0,
-                                                Listing.READY,
+                                                DiscoveryState.READY,
                                                 1,
                                                 Moment.NEVER,
                                                 id.equals(HOSTS.get(0))))
--- a/router/src/main/java/ironwind/start/DeploymentReader.java
+++ b/router/src/main/java/ironwind/start/DeploymentReader.java
@@ -1,10 +1,10 @@
 package ironwind.start;
 
+import ironwind.model.Consistency;
 import ironwind.model.Customer;
 import ironwind.model.Deployment;
-import ironwind.model.Deployment.HostChecks;
-import ironwind.model.Effect;
-import ironwind.model.Freshness;
+import ironwind.model.Deployment.StaleReadPolicy;
+import ironwind.model.Idempotency;
 import ironwind.model.Method;
 import ironwind.model.Moment;
 import ironwind.model.Span;
@@ -16,28 +16,34 @@
  * Reads the settings that a router is started with, from either door, into the deployment's facts.
  */
 public final class DeploymentReader {
-    private static final Map<String, Effect> EFFECTS =
+    private static final Map<String, Idempotency> EFFECTS =
             Map.of(
                     "retryable",
-                    Effect.IDEMPOTENT,
+                    Idempotency.IDEMPOTENT,
                     "dedup",
-                    Effect.TOKENED,
+                    Idempotency.TOKENED,
                     "fragile",
-                    Effect.NON_IDEMPOTENT);
-    private static final Map<String, Freshness> LEVELS =
+                    Idempotency.NON_IDEMPOTENT);
+    private static final Map<String, Consistency> LEVELS =
             Map.of(
                     "update",
-                    Freshness.WRITE,
+                    Consistency.WRITE,
                     "latest",
-                    Freshness.FRESH,
+                    Consistency.STRONG,
                     "own_writes",
-                    Freshness.SESSION,
+                    Consistency.SESSION,
                     "recent",
-                    Freshness.BOUNDED,
+                    Consistency.BOUNDED,
                     "loose",
-                    Freshness.ANY);
-    private static final Map<String, HostChecks> CHECKS =
-            Map.of("off", HostChecks.NONE, "reject", HostChecks.REFUSE, "hold", HostChecks.REFUSE);
+                    Consistency.ANY);
+    private static final Map<String, StaleReadPolicy> CHECKS =
+            Map.of(
+                    "off",
+                    StaleReadPolicy.SERVE,
+                    "reject",
+                    StaleReadPolicy.REJECT,
+                    "hold",
+                    StaleReadPolicy.REJECT);
 
     private DeploymentReader() {}
 
@@ -58,7 +64,7 @@
                             pick(from, at + "effect", EFFECTS, from.need(at + "effect")),
                             i < levels.size()
                                     ? pick(from, "extra.read_level", LEVELS, levels.get(i))
-                                    : Freshness.ANY,
+                                    : Consistency.ANY,
                             new Span(
                                     i < bounds.size()
                                             ? from.parseWhole("extra.lag_allowed_us", bounds.get(i))
@@ -82,7 +88,9 @@
                 customers,
                 Math.max(1, from.small("peers_total", 1)),
                 new Span(from.whole("period_us", 0)),
-                checks == null ? HostChecks.NONE : pick(from, "extra.when_behind", CHECKS, checks),
+                checks == null
+                        ? StaleReadPolicy.SERVE
+                        : pick(from, "extra.when_behind", CHECKS, checks),
                 from.flag("caps.may_probe"),
                 reports && from.list("reporting.fields").contains("x0"),
                 "router".equals(from.text("extra.token_mode")),
--- a/router/src/test/java/ironwind/LogicTest.java
+++ b/router/src/test/java/ironwind/LogicTest.java
@@ -3,15 +3,15 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import ironwind.model.CallOut;
-import ironwind.model.Deployment.HostChecks;
-import ironwind.model.Effect;
+import ironwind.model.ConcurrencyLimit;
+import ironwind.model.Deployment.StaleReadPolicy;
 import ironwind.model.Host;
+import ironwind.model.Idempotency;
 import ironwind.model.Moment;
 import ironwind.model.Outcome;
 import ironwind.model.Role;
-import ironwind.model.Room;
 import ironwind.model.Rpc;
-import ironwind.model.Rpc.Stage;
+import ironwind.model.Rpc.State;
 import ironwind.model.Span;
 import java.util.ArrayList;
 import java.util.List;
@@ -21,14 +21,14 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 class LogicTest {
-    private static Scene scene(HostChecks checks) {
-        return new Scene(checks, checks == HostChecks.NONE, Effect.NON_IDEMPOTENT, 2)
+    private static Scene scene(StaleReadPolicy checks) {
+        return new Scene(checks, checks == StaleReadPolicy.SERVE, Idempotency.NON_IDEMPOTENT, 2)
                 .list(true, "a:primary", "b", "c");
     }
 
     /** Lets b and c tell positions of these ages by answering any-reads. */
     private static Scene positions(long ageOfB, long ageOfC) {
-        Scene scene = scene(HostChecks.NONE);
+        Scene scene = scene(StaleReadPolicy.SERVE);
         Rpc first = scene.arrive(Scene.ANY);
         Rpc second = scene.arrive(Scene.ANY);
         for (Rpc rpc : List.of(first, second)) {
@@ -73,7 +73,7 @@
     @Test
     void whatThereIsNoRoomToHoldIsPushedBackAtOnceAndGoesNowhere() {
         Scene scene =
-                new Scene(HostChecks.NONE, false, Effect.NON_IDEMPOTENT, 1)
+                new Scene(StaleReadPolicy.SERVE, false, Idempotency.NON_IDEMPOTENT, 1)
                         .list(true, "a:primary", "b");
         Rpc rpc =
                 new Rpc(
@@ -86,23 +86,23 @@
                         scene.now().plus(Span.ofMillis(900)),
                         Moment.NEVER,
                         false);
-        rpc.roomless = true;
+        rpc.rejectOnArrival = true;
         scene.asked.clear();
-        scene.logic.arrived(scene.now(), rpc);
-        scene.logic.settle(scene.now());
+        scene.logic.onRpcArrived(scene.now(), rpc);
+        scene.logic.onBatchEnd(scene.now());
         assertThat(scene.asked).containsExactly("push back x");
         assertThat(rpc.callOuts).isEmpty();
     }
 
     @Test
     void whereHostsCheckAReplicaIsTriedThenThePrimaryAndOneFoundBehindIsLeftAlone() {
-        Scene scene = scene(HostChecks.REFUSE);
+        Scene scene = scene(StaleReadPolicy.REJECT);
         Rpc first = scene.arrive(Scene.SESSION, 100);
         String replica = Scene.path(first);
         assertThat(replica).isIn("b", "c");
-        scene.end(first, Outcome.MISS, Role.REPLICA, -1);
+        scene.end(first, Outcome.INELIGIBLE, Role.REPLICA, -1);
         String other = replica.equals("b") ? "c" : "b";
-        scene.end(first, Outcome.MISS, Role.REPLICA, -1).pass(20);
+        scene.end(first, Outcome.INELIGIBLE, Role.REPLICA, -1).pass(20);
         assertThat(Scene.path(first)).isEqualTo(replica + "," + other + ",a");
         Rpc second = scene.arrive(Scene.SESSION, 50);
         scene.pass(30);
@@ -112,25 +112,26 @@
     @ParameterizedTest(name = "{0} after {1}: sent again {2}, then {3}")
     @CsvSource({
         "NON_IDEMPOTENT, ERROR, false, abort",
-        "NON_IDEMPOTENT, BROKEN, false, abort",
-        "NON_IDEMPOTENT, EXPIRED, false, abort",
+        "NON_IDEMPOTENT, CONNECTION_LOST, false, abort",
+        "NON_IDEMPOTENT, TIMED_OUT, false, abort",
         "NON_IDEMPOTENT, CANCELLED, false, abort",
-        "NON_IDEMPOTENT, FULL, true, push back",
-        "NON_IDEMPOTENT, UNSENT, true, push back",
-        "TOKENED, BROKEN, true, abort",
-        "TOKENED, FULL, true, push back",
+        "NON_IDEMPOTENT, OVERLOADED, true, push back",
+        "NON_IDEMPOTENT, NOT_SENT, true, push back",
+        "TOKENED, CONNECTION_LOST, true, abort",
+        "TOKENED, OVERLOADED, true, push back",
         "IDEMPOTENT, ERROR, true, push back"
     })
     void onlyWhatCannotTakeEffectTwiceGoesAgainOrIsPushedBack(
-            Effect effect, Outcome outcome, boolean again, String end) {
+            Idempotency effect, Outcome outcome, boolean again, String end) {
         Scene scene =
-                new Scene(HostChecks.NONE, false, effect, 2).list(true, "a:primary", "b", "c");
+                new Scene(StaleReadPolicy.SERVE, false, effect, 2)
+                        .list(true, "a:primary", "b", "c");
         Rpc rpc = scene.arrive(Scene.WRITE);
-        scene.end(rpc, outcome, Role.UNTOLD, -1).pass(50);
+        scene.end(rpc, outcome, Role.UNKNOWN, -1).pass(50);
         assertThat(rpc.callOuts.size() > 1).isEqualTo(again);
-        while (rpc.stage == Stage.OUT) {
+        while (rpc.state == State.IN_FLIGHT) {
             scene.list(true, "a:draining", "b:draining", "c:draining")
-                    .end(rpc, outcome, Role.UNTOLD, -1);
+                    .end(rpc, outcome, Role.UNKNOWN, -1);
         }
         scene.pass(2_000);
         assertThat(
@@ -145,9 +146,10 @@
     @Test
     void aTokenedRpcThatMayHaveRunIsNotSentAgainAfterItsWindow() {
         Scene scene =
-                new Scene(HostChecks.NONE, false, Effect.TOKENED, 2).list(true, "a:primary", "b");
+                new Scene(StaleReadPolicy.SERVE, false, Idempotency.TOKENED, 2)
+                        .list(true, "a:primary", "b");
         Rpc rpc = scene.arrive(Scene.WRITE);
-        scene.pass(1_000).end(rpc, Outcome.BROKEN, Role.UNTOLD, -1).pass(900);
+        scene.pass(1_000).end(rpc, Outcome.CONNECTION_LOST, Role.UNKNOWN, -1).pass(900);
         assertThat(rpc.callOuts).hasSize(1);
         assertThat(scene.asked).endsWith("abort " + rpc.id);
     }
@@ -155,7 +157,7 @@
     @ParameterizedTest
     @CsvSource({"b:draining", "b:gone"})
     void nothingNewGoesToAHostThatDrainsOrIsGone(String entry) {
-        Scene scene = scene(HostChecks.NONE).list(false, entry);
+        Scene scene = scene(StaleReadPolicy.SERVE).list(false, entry);
         for (int i = 0; i < 8; i++) {
             scene.arrive(Scene.ANY);
         }
@@ -166,7 +168,7 @@
 
     @Test
     void aHostMissingFromACompleteListIsGone() {
-        Scene scene = scene(HostChecks.NONE).list(true, "a:primary", "c");
+        Scene scene = scene(StaleReadPolicy.SERVE).list(true, "a:primary", "c");
         scene.arrive(Scene.ANY);
         scene.arrive(Scene.ANY);
         assertThat(scene.asked).noneMatch(action -> action.endsWith(" b"));
@@ -176,12 +178,13 @@
     @CsvSource({"2, 3", "10, 1", "30, 1"})
     void aColdHostIsSentOurPartOfItsBudgetInAnyWindow(int routers, int most) {
         Scene scene =
-                new Scene(HostChecks.NONE, true, Effect.TOKENED, routers).list(true, "a:cold");
+                new Scene(StaleReadPolicy.SERVE, true, Idempotency.TOKENED, routers)
+                        .list(true, "a:cold");
         List<Long> sends = new ArrayList<>();
         for (int i = 0; i < 400; i++) {
             Rpc rpc = scene.arrive(Scene.ANY);
             scene.pass(5);
-            if (rpc.stage == Stage.OUT) {
+            if (rpc.state == State.IN_FLIGHT) {
                 sends.add(i * 5L);
                 scene.end(rpc, Outcome.OK, Role.REPLICA, 0);
             }
@@ -195,15 +198,15 @@
 
     /** Hung, gone silent or cut off: told by waiting alone. */
     @ParameterizedTest
-    @CsvSource({"NONE, 2", "REFUSE, 1"})
-    void aSilentHostIsLeftAndItsIdempotentWorkRescued(HostChecks checks, int copies) {
+    @CsvSource({"SERVE, 2", "REJECT, 1"})
+    void aSilentHostIsLeftAndItsIdempotentWorkRescued(StaleReadPolicy checks, int copies) {
         Scene scene = scene(checks);
         Rpc stuck = scene.arrive(Scene.ANY);
         String silent = Scene.path(stuck);
         scene.othersAnswer(1_300);
         assertThat(scene.host(silent).suspect).isTrue();
         assertThat(stuck.callOuts.size()).isEqualTo(copies);
-        if (checks == HostChecks.REFUSE) {
+        if (checks == StaleReadPolicy.REJECT) {
             assertThat(scene.asked).contains("cancel " + stuck.id);
         }
         for (int i = 0; i < 5; i++) {
@@ -220,12 +223,12 @@
 
     @Test
     void writesAreHeldFromASilentPrimaryUntilAnotherIsHeardOf() {
-        Scene scene = scene(HostChecks.NONE);
+        Scene scene = scene(StaleReadPolicy.SERVE);
         Rpc lost = scene.arrive(Scene.WRITE);
         scene.othersAnswer(1_300);
         Rpc held = scene.arrive(Scene.WRITE);
         scene.pass(300);
-        assertThat(held.stage).isEqualTo(Stage.HELD);
+        assertThat(held.state).isEqualTo(State.PENDING);
         scene.end(scene.arrive(Scene.ANY), Outcome.OK, Role.PRIMARY, 0).pass(20);
         assertThat(held.callOuts).hasSize(1);
         assertThat(Scene.path(held)).isNotEqualTo(Scene.path(lost));
@@ -233,28 +236,28 @@
 
     /** A hung host with a full queue still turns work away, which is no sign of health. */
     @ParameterizedTest
-    @CsvSource({"FULL, true", "OK, false"})
+    @CsvSource({"OVERLOADED, true", "OK, false"})
     void onlyUsefulAnswersClearSuspicion(Outcome outcome, boolean suspect) {
-        Scene scene = scene(HostChecks.NONE);
+        Scene scene = scene(StaleReadPolicy.SERVE);
         Rpc stuck = scene.arrive(Scene.ANY);
         String silent = Scene.path(stuck);
         scene.othersAnswer(1_300);
-        scene.logic.ended(
+        scene.logic.onCallOutEnded(
                 scene.now(),
                 stuck.callOuts.get(0),
                 outcome,
                 false,
                 Role.REPLICA,
                 scene.now(),
-                scene.now().since(stuck.callOuts.get(0).sent));
+                scene.now().since(stuck.callOuts.get(0).sentAt));
         assertThat(scene.host(silent).suspect).isEqualTo(suspect);
     }
 
     /** A host that answers badly but fast must not look idle. */
     @ParameterizedTest
-    @CsvSource({"FULL", "ERROR"})
+    @CsvSource({"OVERLOADED", "ERROR"})
     void aHostThatTurnsWorkAwayRests(Outcome outcome) {
-        Scene scene = scene(HostChecks.NONE);
+        Scene scene = scene(StaleReadPolicy.SERVE);
         int bad = 0;
         for (int i = 0; i < 100; i++) {
             Rpc rpc = scene.arrive(Scene.ANY);
@@ -268,11 +271,11 @@
     @ParameterizedTest(name = "list names b after an answer of b as {0}: primary {1}")
     @CsvSource({"REPLICA, ", "PRIMARY, b"})
     void aLateListDoesNotOverruleAFresherAnswer(Role role, String primary) {
-        Scene scene = scene(HostChecks.REFUSE).list(false, "c:gone");
+        Scene scene = scene(StaleReadPolicy.REJECT).list(false, "c:gone");
         scene.end(scene.arrive(Scene.ANY), Outcome.OK, role, 0);
         scene.end(
                 scene.arrive(Scene.WRITE),
-                Outcome.MISS,
+                Outcome.INELIGIBLE,
                 role == Role.PRIMARY ? Role.PRIMARY : Role.REPLICA,
                 0);
         scene.list(false, "b:primary");
@@ -283,41 +286,43 @@
     @Test
     void withNoKnownPrimaryAWriteTriesMembersInIdOrderThenWaitsForNews() {
         Scene scene =
-                new Scene(HostChecks.REFUSE, false, Effect.NON_IDEMPOTENT, 2)
+                new Scene(StaleReadPolicy.REJECT, false, Idempotency.NON_IDEMPOTENT, 2)
                         .list(true, "c", "a", "b");
         Rpc rpc = scene.arrive(Scene.WRITE);
         for (int i = 0; i < 3; i++) {
-            scene.end(rpc, Outcome.MISS, Role.REPLICA, -1);
+            scene.end(rpc, Outcome.INELIGIBLE, Role.REPLICA, -1);
         }
         assertThat(Scene.path(rpc)).isEqualTo("a,b,c");
-        assertThat(rpc.stage).isEqualTo(Stage.HELD);
+        assertThat(rpc.state).isEqualTo(State.PENDING);
         scene.end(scene.arrive(Scene.ANY), Outcome.OK, Role.PRIMARY, 0);
         assertThat(rpc.callOuts).hasSize(4);
     }
 
     @Test
     void aSlowFleetIsSentLessAndTheRestAnsweredBeforeItIsUseless() {
-        Scene scene = scene(HostChecks.NONE);
+        Scene scene = scene(StaleReadPolicy.SERVE);
         List<Rpc> rpcs = new ArrayList<>();
         for (int i = 0; i < 200; i++) {
             rpcs.add(scene.arrive(Scene.ANY));
             scene.pass(10);
             for (Rpc rpc : rpcs) {
-                if (rpc.out == 1 && scene.now().since(rpc.callOuts.get(0).sent).us() > 450_000) {
+                if (rpc.inFlight == 1
+                        && scene.now().since(rpc.callOuts.get(0).sentAt).us() > 450_000) {
                     scene.end(rpc, Outcome.OK, Role.REPLICA, 0);
                 }
             }
         }
         // Fewer than arrive in an answer's time, but never below four a host by all routers
         // together.
-        assertThat(rpcs.stream().filter(rpc -> rpc.out > 0).count()).isBetween(4L, 12L);
+        assertThat(rpcs.stream().filter(rpc -> rpc.inFlight > 0).count()).isBetween(4L, 12L);
         assertThat(scene.asked).anyMatch(action -> action.startsWith("push back"));
     }
 
     @Test
     void everyHeldRpcIsAnsweredOnceBeforeItsDeadline() {
         Scene scene =
-                new Scene(HostChecks.NONE, true, Effect.NON_IDEMPOTENT, 2).list(true, "a:gone");
+                new Scene(StaleReadPolicy.SERVE, true, Idempotency.NON_IDEMPOTENT, 2)
+                        .list(true, "a:gone");
         List<Rpc> rpcs = new ArrayList<>();
         for (int method = Scene.WRITE; method <= Scene.ANY; method++) {
             rpcs.add(scene.arrive(method));
@@ -325,19 +330,19 @@
         scene.pass(1_999);
         assertThat(scene.asked.stream().filter(action -> action.startsWith("push back")))
                 .hasSize(rpcs.size());
-        assertThat(rpcs).allMatch(rpc -> rpc.stage == Stage.OVER);
+        assertThat(rpcs).allMatch(rpc -> rpc.state == State.DONE);
     }
 
     @Test
     void whatIsStuckAtASilentHostTakesNoRoomFromTheOthers() {
-        Scene scene = scene(HostChecks.NONE);
+        Scene scene = scene(StaleReadPolicy.SERVE);
         Rpc stuck = scene.arrive(Scene.WRITE);
-        Room pool = stuck.callOuts.get(0).pool;
-        assertThat(pool.out).isEqualTo(1);
+        ConcurrencyLimit pool = stuck.callOuts.get(0).pool;
+        assertThat(pool.inFlight).isEqualTo(1);
         scene.othersAnswer(1_300);
-        assertThat(pool.out).isZero();
-        scene.end(stuck, Outcome.EXPIRED, Role.UNTOLD, -1);
-        assertThat(pool.out).isZero();
+        assertThat(pool.inFlight).isZero();
+        scene.end(stuck, Outcome.TIMED_OUT, Role.UNKNOWN, -1);
+        assertThat(pool.inFlight).isZero();
     }
 
     /**
@@ -346,11 +351,11 @@
      */
     @Test
     void aSuspectPrimaryIsTriedWithAReadThoughReplicasPass() {
-        Scene scene = scene(HostChecks.NONE).list(true, "a:primary", "b");
+        Scene scene = scene(StaleReadPolicy.SERVE).list(true, "a:primary", "b");
         Rpc write = scene.arrive(Scene.WRITE);
-        scene.pass(100).end(write, Outcome.UNREACHED, Role.UNTOLD, -1);
+        scene.pass(100).end(write, Outcome.CONNECT_FAILED, Role.UNKNOWN, -1);
         assertThat(scene.host("a").suspect).isTrue();
-        scene.logic.probed(scene.now(), scene.host("a"), true, Role.UNTOLD, Moment.NEVER);
+        scene.logic.onProbeEnded(scene.now(), scene.host("a"), true, Role.UNKNOWN, Moment.NEVER);
         scene.pass(500);
         assertThat(Scene.path(scene.arrive(Scene.ANY))).isEqualTo("a");
     }
@@ -358,19 +363,19 @@
     /** Guards against lists that name new hosts without end. */
     @Test
     void aHostThatIsGoneIsLetGo() {
-        Scene scene = scene(HostChecks.NONE).list(true, "a:primary");
+        Scene scene = scene(StaleReadPolicy.SERVE).list(true, "a:primary");
         assertThat(scene.host("b")).isNull();
         assertThat(scene.logic.group(1).members).containsExactly(scene.host("a"));
     }
 
     @Test
     void amongEqualsTheNewestHeldRpcGoesFirst() {
-        Scene scene = scene(HostChecks.NONE).list(true, "a:gone", "b:draining");
+        Scene scene = scene(StaleReadPolicy.SERVE).list(true, "a:gone", "b:draining");
         Rpc older = scene.arrive(Scene.ANY);
         Rpc newer = scene.pass(50).arrive(Scene.ANY);
-        scene.host("b").room.limit = 1;
+        scene.host("b").concurrency.limit = 1;
         scene.list(true, "a:gone", "b").pass(20);
-        assertThat(List.of(older.out, newer.out)).isEqualTo(List.of(0, 1));
+        assertThat(List.of(older.inFlight, newer.inFlight)).isEqualTo(List.of(0, 1));
     }
 
     /**
@@ -383,7 +388,7 @@
         for (int i = 0; i < 30; i++) {
             Rpc slow = scene.arrive(Scene.BOUNDED);
             scene.pass(520);
-            if (slow.out > 0) {
+            if (slow.inFlight > 0) {
                 scene.end(slow, Outcome.OK, Role.PRIMARY, 0);
             }
         }
@@ -401,7 +406,7 @@
     void whereOnlyDrainingBindsAHostListedGoneIsStillUsed(
             boolean onlyDrainingBinds, String expected) {
         Scene scene =
-                new Scene(HostChecks.NONE, true, Effect.TOKENED, 2, onlyDrainingBinds)
+                new Scene(StaleReadPolicy.SERVE, true, Idempotency.TOKENED, 2, onlyDrainingBinds)
                         .list(true, "a:primary", "b")
                         .list(true);
         Rpc write = scene.arrive(Scene.WRITE);
@@ -417,11 +422,12 @@
      */
     @Test
     void probesForNewsStayWithinTheirBudgetHoweverLongAHostIsSilent() {
-        Scene scene = scene(HostChecks.REFUSE);
+        Scene scene = scene(StaleReadPolicy.REJECT);
         scene.arrive(Scene.WRITE);
         scene.othersAnswer(1_300);
         for (int i = 0; i < 80; i++) {
-            scene.logic.probed(scene.now(), scene.host("a"), false, Role.UNTOLD, Moment.NEVER);
+            scene.logic.onProbeEnded(
+                    scene.now(), scene.host("a"), false, Role.UNKNOWN, Moment.NEVER);
             scene.pass(250).arrive(Scene.FRESH);
         }
         assertThat(scene.host("a").suspect).isTrue();
@@ -433,16 +439,16 @@
     /** Bad RPCs err wherever they go; the hosts that say so are well. */
     @Test
     void anRpcThatErrsAtTwoHostsIsGivenUpAndHostsThatServeOthersDoNotRest() {
-        Scene scene = scene(HostChecks.NONE);
+        Scene scene = scene(StaleReadPolicy.SERVE);
         for (int i = 0; i < 30; i++) {
             Rpc bad = scene.arrive(Scene.ANY);
             scene.end(bad, Outcome.ERROR, Role.REPLICA, 0).end(bad, Outcome.ERROR, Role.REPLICA, 0);
             assertThat(Scene.path(bad)).isIn("b,c", "c,b");
-            assertThat(bad.stage).isEqualTo(Stage.OVER);
+            assertThat(bad.state).isEqualTo(State.DONE);
             scene.serve(4, Scene.ANY, 20);
         }
         assertThat(List.of(scene.host("b"), scene.host("c")))
-                .allMatch(host -> !scene.now().before(host.restUntil));
+                .allMatch(host -> !scene.now().before(host.ejectedUntil));
     }
 
     /**
@@ -454,13 +460,13 @@
     @CsvSource({"1, true, true", "1, false, false", "250, true, false", "1, false true, false"})
     void connectionsAreGivenBackWhereAHostThatRunsRefusesOne(
             long after, String answered, boolean given) {
-        Scene scene = scene(HostChecks.NONE);
+        Scene scene = scene(StaleReadPolicy.SERVE);
         Rpc refused = scene.arrive(Scene.ANY);
         Host host = refused.callOuts.get(0).host;
-        scene.pass(after).end(refused, Outcome.UNREACHED, Role.UNTOLD, -1);
+        scene.pass(after).end(refused, Outcome.CONNECT_FAILED, Role.UNKNOWN, -1);
         for (String runs : answered.split(" ")) {
-            scene.logic.probed(
-                    scene.now(), host, Boolean.parseBoolean(runs), Role.UNTOLD, Moment.NEVER);
+            scene.logic.onProbeEnded(
+                    scene.now(), host, Boolean.parseBoolean(runs), Role.UNKNOWN, Moment.NEVER);
         }
         assertThat(host.suspect).isEqualTo(!given);
         scene.serve(3, Scene.ANY, 20);
@@ -473,14 +479,14 @@
     @CsvSource({"2, 30, 40", "200, 1, 12"})
     void aSmallPartOfAPoolIsKeptByResting(int routers, int least, int most) {
         Scene scene =
-                new Scene(HostChecks.REFUSE, false, Effect.NON_IDEMPOTENT, routers)
+                new Scene(StaleReadPolicy.REJECT, false, Idempotency.NON_IDEMPOTENT, routers)
                         .list(true, "a:primary", "b", "c");
         int sent = 0;
         for (int i = 0; i < 40; i++) {
             Rpc rpc = scene.arrive(Scene.WRITE);
             scene.pass(400);
             sent += rpc.callOuts.size();
-            if (rpc.out > 0) {
+            if (rpc.inFlight > 0) {
                 scene.end(rpc, Outcome.OK, Role.PRIMARY, 0);
             }
             scene.pass(100);
@@ -493,7 +499,7 @@
     @CsvSource({"50, true", "1200, false"})
     void readsLeaveAStrainedPrimaryToTheWrites(long answered, boolean sent) {
         Scene scene =
-                new Scene(HostChecks.NONE, false, Effect.NON_IDEMPOTENT, 100)
+                new Scene(StaleReadPolicy.SERVE, false, Idempotency.NON_IDEMPOTENT, 100)
                         .list(true, "a:primary", "b");
         scene.serve(12, Scene.WRITE, answered).pass(15_000);
         Rpc read = scene.arrive(Scene.SESSION, 1);
@@ -504,11 +510,11 @@
     @Test
     void aNewPrimaryIsNotHeldToTheRoomOfTheLast() {
         Scene scene =
-                new Scene(HostChecks.NONE, false, Effect.NON_IDEMPOTENT, 100)
+                new Scene(StaleReadPolicy.SERVE, false, Idempotency.NON_IDEMPOTENT, 100)
                         .list(true, "a:primary", "b");
         scene.serve(8, Scene.WRITE, 2_000);
         Rpc held = scene.arrive(Scene.WRITE);
-        assertThat(held.stage).isEqualTo(Stage.HELD);
+        assertThat(held.state).isEqualTo(State.PENDING);
         scene.end(scene.arrive(Scene.ANY), Outcome.OK, Role.PRIMARY, 0).pass(20);
         assertThat(Scene.path(held)).isEqualTo("b");
     }
@@ -518,7 +524,7 @@
      */
     @Test
     void hostsOfASlowZoneAreUsedLessUnseen() {
-        Scene scene = scene(HostChecks.NONE).list(false, "far1", "far2", "far3");
+        Scene scene = scene(StaleReadPolicy.SERVE).list(false, "far1", "far2", "far3");
         int far = 0;
         for (int i = 0; i < 300; i++) {
             Rpc rpc = scene.arrive(Scene.ANY);
@@ -548,7 +554,7 @@
         Rpc rpc = scene.arrive(method);
         CallOut callOut = rpc.callOuts.get(0);
         scene.pass(later).list(false, callOut.host.id + ":" + listing);
-        assertThat(scene.logic.stillPasses(scene.now(), callOut)).isEqualTo(passes);
+        assertThat(scene.logic.maySendNow(scene.now(), callOut)).isEqualTo(passes);
     }
 
     /**
@@ -566,11 +572,11 @@
     void whatNoHostHasSeenIsGivenBackBeforeHalfOfTheClientsTime(
             int method, long waits, long least, long most) {
         Scene scene =
-                new Scene(HostChecks.NONE, true, Effect.NON_IDEMPOTENT, 2)
+                new Scene(StaleReadPolicy.SERVE, true, Idempotency.NON_IDEMPOTENT, 2)
                         .list(true, "a:draining", "b:draining");
         Rpc rpc = scene.arrive(method, 0, waits);
         scene.pass(least);
-        assertThat(rpc.stage).isEqualTo(Stage.HELD);
+        assertThat(rpc.state).isEqualTo(State.PENDING);
         scene.pass(most - least);
         assertThat(scene.asked).contains("push back " + rpc.id);
     }
@@ -582,13 +588,13 @@
     @ParameterizedTest(name = "a client that waits {0} ms")
     @CsvSource({"300", "303", "306", "309"})
     void whatIsHeldIsAnsweredAtItsLastMomentWhetherALookIsDueOrNot(long waits) {
-        Scene scene = scene(HostChecks.NONE).list(true, "b");
+        Scene scene = scene(StaleReadPolicy.SERVE).list(true, "b");
         Rpc write = scene.arrive(Scene.WRITE, 0, waits);
-        scene.end(write, Outcome.MISS, Role.REPLICA, -1).pass(waits - 11);
-        assertThat(write.stage).isEqualTo(Stage.HELD);
+        scene.end(write, Outcome.INELIGIBLE, Role.REPLICA, -1).pass(waits - 11);
+        assertThat(write.state).isEqualTo(State.PENDING);
         scene.pass(1);
-        scene.logic.settle(scene.now());
-        assertThat(write.stage).isEqualTo(Stage.OVER);
+        scene.logic.onBatchEnd(scene.now());
+        assertThat(write.state).isEqualTo(State.DONE);
         assertThat(scene.asked).endsWith("push back " + write.id);
     }
 
@@ -600,7 +606,7 @@
 
     /** Nanoseconds of looks at RPCs that wait for one cold group, the best of some rounds. */
     private static double costOfLooks(int hosts) {
-        Scene scene = new Scene(HostChecks.NONE, false, Effect.IDEMPOTENT, 1_024);
+        Scene scene = new Scene(StaleReadPolicy.SERVE, false, Idempotency.IDEMPOTENT, 1_024);
         scene.list(
                 true,
                 IntStream.range(0, hosts)
--- a/router/src/test/java/ironwind/Scene.java
+++ b/router/src/test/java/ironwind/Scene.java
@@ -1,19 +1,19 @@
 package ironwind;
 
 import ironwind.model.CallOut;
+import ironwind.model.Consistency;
 import ironwind.model.Customer;
 import ironwind.model.Deployment;
-import ironwind.model.Deployment.HostChecks;
-import ironwind.model.Effect;
-import ironwind.model.Freshness;
+import ironwind.model.Deployment.StaleReadPolicy;
 import ironwind.model.Host;
-import ironwind.model.Host.Listing;
+import ironwind.model.Host.DiscoveryState;
+import ironwind.model.HostEntry;
+import ironwind.model.Idempotency;
 import ironwind.model.Method;
 import ironwind.model.Moment;
 import ironwind.model.Outbound;
 import ironwind.model.Outcome;
 import ironwind.model.Role;
-import ironwind.model.RosterEntry;
 import ironwind.model.Rpc;
 import ironwind.model.Span;
 import java.util.ArrayList;
@@ -38,19 +38,19 @@
     private long ms = 1_000_000;
     private int count;
 
-    Scene(HostChecks checks, boolean parallel, Effect writes, int routers) {
+    Scene(StaleReadPolicy checks, boolean parallel, Idempotency writes, int routers) {
         this(checks, parallel, writes, routers, false);
     }
 
     Scene(
-            HostChecks checks,
+            StaleReadPolicy checks,
             boolean parallel,
-            Effect writes,
+            Idempotency writes,
             int routers,
             boolean onlyDrainingBinds) {
         List<Method> methods = new ArrayList<>();
-        for (Freshness freshness : Freshness.values()) {
-            Effect effect = freshness == Freshness.WRITE ? writes : Effect.IDEMPOTENT;
+        for (Consistency freshness : Consistency.values()) {
+            Idempotency effect = freshness == Consistency.WRITE ? writes : Idempotency.IDEMPOTENT;
             methods.add(
                     new Method(
                             methods.size(),
@@ -59,8 +59,8 @@
                             Span.ofMillis(300),
                             Span.ofMillis(500),
                             Span.ofMillis(2_000),
-                            freshness == Freshness.WRITE ? 6 : 2,
-                            freshness == Freshness.WRITE ? 3 : 0,
+                            freshness == Consistency.WRITE ? 6 : 2,
+                            freshness == Consistency.WRITE ? 3 : 0,
                             false,
                             Span.ofMillis(1_000)));
         }
@@ -72,7 +72,7 @@
                         Span.ofMillis(5),
                         checks,
                         true,
-                        checks == HostChecks.REFUSE,
+                        checks == StaleReadPolicy.REJECT,
                         false,
                         true,
                         parallel,
@@ -96,18 +96,18 @@
      * group.
      */
     Scene list(boolean complete, String... entries) {
-        List<RosterEntry> list = new ArrayList<>();
+        List<HostEntry> list = new ArrayList<>();
         for (String entry : entries) {
             String[] words = (entry + ":ready").split(":");
-            Listing listing =
+            DiscoveryState listing =
                     words[1].equals("draining")
-                            ? Listing.DRAINING
-                            : words[1].equals("gone") ? Listing.GONE : Listing.READY;
+                            ? DiscoveryState.DRAINING
+                            : words[1].equals("gone") ? DiscoveryState.GONE : DiscoveryState.READY;
             Moment started = words[1].equals("cold") ? now() : Moment.NEVER;
             int zone = words[0].startsWith("far") ? 1 : 0;
             int group = words[0].startsWith("other") ? 2 : 1;
             list.add(
-                    new RosterEntry(
+                    new HostEntry(
                             words[0],
                             zone,
                             0,
@@ -117,8 +117,8 @@
                             started,
                             words[1].equals("primary")));
         }
-        logic.listed(now(), complete, list);
-        logic.settle(now());
+        logic.onDiscoveryUpdate(now(), complete, list);
+        logic.onBatchEnd(now());
         return this;
     }
 
@@ -132,7 +132,7 @@
             ms++;
             if (!wakes.isEmpty() && wakes.firstKey() <= ms * 1_000) {
                 wakes.pollFirstEntry();
-                logic.settle(now());
+                logic.onBatchEnd(now());
             }
         }
         return this;
@@ -159,8 +159,8 @@
                         now().plus(Span.ofMillis(waits)),
                         token,
                         false);
-        logic.arrived(now(), rpc);
-        logic.settle(now());
+        logic.onRpcArrived(now(), rpc);
+        logic.onBatchEnd(now());
         return rpc;
     }
 
@@ -168,9 +168,10 @@
     Scene end(Rpc rpc, Outcome outcome, Role role, long positionAge) {
         CallOut callOut = rpc.callOuts.get(rpc.callOuts.size() - 1);
         Moment position = positionAge < 0 ? Moment.NEVER : now().minus(Span.ofMillis(positionAge));
-        boolean closed = outcome == Outcome.OK || rpc.stage == Rpc.Stage.OVER;
-        logic.ended(now(), callOut, outcome, closed, role, position, now().since(callOut.sent));
-        logic.settle(now());
+        boolean closed = outcome == Outcome.OK || rpc.state == Rpc.State.DONE;
+        logic.onCallOutEnded(
+                now(), callOut, outcome, closed, role, position, now().since(callOut.sentAt));
+        logic.onBatchEnd(now());
         return this;
     }
 
@@ -184,7 +185,7 @@
         for (int i = 0; i < count; i++) {
             Rpc rpc = arrive(method);
             pass(after);
-            if (rpc.out > 0) {
+            if (rpc.inFlight > 0) {
                 Host host = rpc.callOuts.get(0).host;
                 end(rpc, Outcome.OK, host == host.group.primary ? Role.PRIMARY : Role.REPLICA, 0);
             }
@@ -227,7 +228,7 @@
     }
 
     @Override
-    public void closeIdle(Host host) {
+    public void closeIdleConnections(Host host) {
         asked.add("close " + host.id);
     }
 
--- a/router/src/test/java/ironwind/adapter/StartFactsTest.java
+++ b/router/src/test/java/ironwind/adapter/StartFactsTest.java
@@ -50,8 +50,8 @@
         StartFacts facts = StartFacts.read(new JsonObject(JSON));
         assertThat(facts.deployment()).isEqualTo(DeploymentReader.read(new Line(LINE, 1)));
         assertThat(facts.deployment().methods()).hasSize(2);
-        assertThat(facts.deployment().probesTellPosition()).isTrue();
-        assertThat(facts.names().methods().get("move").repeatWindow())
+        assertThat(facts.deployment().probesReportPosition()).isTrue();
+        assertThat(facts.names().methods().get("move").tokenWindow())
                 .isEqualTo(Span.ofMillis(2_000));
         assertThat(facts.names().customers().get("chess").quotaPerSecond()).isEqualTo(102);
         assertThat(facts.names().zones()).containsExactly("auckland", "hamilton");
--- a/router/src/test/java/ironwind/net/EndingTest.java
+++ b/router/src/test/java/ironwind/net/EndingTest.java
@@ -15,22 +15,22 @@
     @ParameterizedTest(name = "{0}: {1}, has run: {2}")
     @CsvSource({
         "SERVED, OK, maybe",
-        "MISSED, MISS, never",
+        "MISSED, INELIGIBLE, never",
         "FAILED, ERROR, maybe",
-        "TURNED_AWAY, FULL, never",
-        "REFUSED, UNREACHED, never",
-        "NEVER_UP, UNREACHED, never",
-        "BROKE_UNWRITTEN, UNREACHED, never",
-        "NO_SOCKET, UNREACHED, never",
-        "BROKE_WRITTEN, BROKEN, maybe",
-        "GARBLED, BROKEN, maybe",
-        "TIMED_OUT, EXPIRED, maybe",
+        "TURNED_AWAY, OVERLOADED, never",
+        "REFUSED, CONNECT_FAILED, never",
+        "NEVER_UP, CONNECT_FAILED, never",
+        "BROKE_UNWRITTEN, CONNECT_FAILED, never",
+        "NO_SOCKET, CONNECT_FAILED, never",
+        "BROKE_WRITTEN, CONNECTION_LOST, maybe",
+        "GARBLED, CONNECTION_LOST, maybe",
+        "TIMED_OUT, TIMED_OUT, maybe",
         "CALLED_OFF, CANCELLED, maybe",
-        "LAPSED, UNSENT, never"
+        "LAPSED, NOT_SENT, never"
     })
     void eachEndingHasItsOutcome(Ending ending, Outcome outcome, String hasRun) {
         assertThat(ending.outcome()).isEqualTo(outcome);
-        assertThat(ending.outcome().provesUnrun).isEqualTo(hasRun.equals("never"));
+        assertThat(ending.outcome().provesNotRun).isEqualTo(hasRun.equals("never"));
     }
 
     @Test
--- a/router/src/test/java/ironwind/net/HostWordTest.java
+++ b/router/src/test/java/ironwind/net/HostWordTest.java
@@ -21,8 +21,8 @@
         "1767225600123, primary, 1767225600123000, PRIMARY",
         "1767225600123.9999, replica, 1767225600123999, REPLICA",
         "0, replica, , REPLICA",
-        "-5, x, , UNTOLD",
-        "soon, , , UNTOLD",
+        "-5, x, , UNKNOWN",
+        "soon, , , UNKNOWN",
         ", primary, , PRIMARY",
         "1e400000000, primary, , PRIMARY",
         "1e-400000000, primary, , PRIMARY",
@@ -46,8 +46,8 @@
             value = {
                 "inflight=7,x0=1767225600.1239999,x1=1 | 1767225600123999 | PRIMARY",
                 "x1=0.0,x0=1767225600 | 1767225600000000 | REPLICA",
-                "util=0.61 | | UNTOLD",
-                "x0,x1=,x00=5 | | UNTOLD"
+                "util=0.61 | | UNKNOWN",
+                "x0,x1=,x00=5 | | UNKNOWN"
             })
     void positionAndRoleOfAReportComeFromItsRow(String report, Long position, Role told) {
         Row row = Row.ofText("load", report);
