--- a/lab/src/main/java/ironwind/lab/KeeperTrial.java
+++ b/lab/src/main/java/ironwind/lab/KeeperTrial.java
@@ -3,11 +3,11 @@
 import io.vertx.core.json.JsonArray;
 import io.vertx.core.json.JsonObject;
 import ironwind.idle.Budget;
+import ironwind.idle.ConnectionState;
 import ironwind.idle.Debtors;
 import ironwind.idle.Keeper;
 import ironwind.idle.Limits;
 import ironwind.idle.Peer;
-import ironwind.idle.Standing;
 import ironwind.model.Span;
 import java.io.PrintStream;
 import java.util.Arrays;
@@ -78,7 +78,7 @@
             peers[i] = new Bare();
             keeper.enter(peers[i], addresses[i % ADDRESSES], now);
             keeper.served(peers[i], null, now);
-            keeper.stands(peers[i], Standing.SERVED, now);
+            keeper.stands(peers[i], ConnectionState.IDLE, now);
         }
         double kept = (used() - before) / (double) size;
         SplittableRandom random = new SplittableRandom(1);
@@ -96,9 +96,9 @@
             begun = System.nanoTime();
             for (int i = 0; i < STEPS; i++) {
                 Peer peer = peers[random.nextInt(size)];
-                keeper.stands(peer, Standing.BUSY, now);
+                keeper.stands(peer, ConnectionState.BUSY, now);
                 keeper.served(peer, null, now);
-                keeper.stands(peer, Standing.SERVED, now);
+                keeper.stands(peer, ConnectionState.IDLE, now);
             }
             answer[round] = (System.nanoTime() - begun) / (double) STEPS;
             begun = System.nanoTime();
@@ -106,7 +106,7 @@
                 Peer least = keeper.toGiveWay();
                 keeper.leave(least);
                 keeper.enter(least, addresses[i % ADDRESSES], now);
-                keeper.stands(least, Standing.SERVED, now);
+                keeper.stands(least, ConnectionState.IDLE, now);
             }
             give[round] = (System.nanoTime() - begun) / (double) STEPS;
         }
--- a/router/src/main/java/ironwind/idle/Budget.java
+++ b/router/src/main/java/ironwind/idle/Budget.java
@@ -1,24 +1,32 @@
 package ironwind.idle;
 
 import java.util.EnumMap;
-import java.util.Locale;
 import java.util.Map;
 
 /** Memory that is lent while data is there, in bytes, told apart by what it is lent for. */
 public final class Budget {
     /** What memory is lent for. */
     public enum Use {
-        /** Messages of clients of which a part has come. */
-        INCOMING,
-        /** Statements of RPCs that have no answer yet. */
-        OPEN,
-        /** Answers of hosts that have begun. */
-        MAKING,
-        /** Answers that clients' sockets have not taken. */
-        OWED;
+        /** Messages from clients that have arrived in part. */
+        PARTIAL_REQUESTS("incoming"),
+        /** Statements of RPCs that are not answered yet. */
+        OPEN_RPCS("open"),
+        /** Answers from hosts that have arrived in part. */
+        PARTIAL_ANSWERS("making"),
+        /** Answers that are waiting for clients' sockets to accept them. */
+        UNSENT_ANSWERS("owed");
 
+        private final String label;
+
+        Use(String label) {
+            this.label = label;
+        }
+
+        /**
+         * Returns the name that {@code SHOW memory} prints; it differs from the constant's name.
+         */
         public String label() {
-            return name().toLowerCase(Locale.ROOT);
+            return label;
         }
     }
 
--- a/router/src/main/java/ironwind/idle/Chain.java
+++ b/router/src/main/java/ironwind/idle/Chain.java
@@ -4,9 +4,9 @@
  * Connections of one standing in the order in which they came to it: the first has waited longest.
  */
 final class Chain extends Line {
-    final Standing standing;
+    final ConnectionState standing;
 
-    Chain(Standing standing) {
+    Chain(ConnectionState standing) {
         this.standing = standing;
     }
 
--- /dev/null
+++ b/router/src/main/java/ironwind/idle/ConnectionState.java
@@ -0,0 +1,34 @@
+package ironwind.idle;
+
+/**
+ * State of a client connection. The constants are in eviction order: those declared first are
+ * evicted first when the router is full.
+ */
+public enum ConnectionState {
+    /** A fatal error was written; the connection stays open so that the client can read it. */
+    CLOSING("parting"),
+    /** The start-up message has not arrived completely. */
+    STARTUP("stranger"),
+    /** Start-up is complete and no request has been made. */
+    UNUSED("greeted"),
+    /** At least one request was answered and none is in progress. */
+    IDLE("served"),
+    /**
+     * Part of a message has arrived and no answer is outstanding. Never evicted, but subject to the
+     * message timeout.
+     */
+    RECEIVING("halfway"),
+    /** An answer is outstanding. Never evicted; the RPC's own deadline limits how long it takes. */
+    BUSY("busy");
+
+    private final String label;
+
+    ConnectionState(String label) {
+        this.label = label;
+    }
+
+    /** Returns the name that {@code SHOW clients} prints; it differs from the constant's name. */
+    public String label() {
+        return label;
+    }
+}
--- a/router/src/main/java/ironwind/idle/Debtors.java
+++ b/router/src/main/java/ironwind/idle/Debtors.java
@@ -17,7 +17,7 @@
 
     /** So many bytes more are owed to it. */
     public void owe(Peer peer, int bytes, long now) {
-        budget.force(Budget.Use.OWED, bytes);
+        budget.force(Budget.Use.UNSENT_ANSWERS, bytes);
         peer.owed += bytes;
         if (peer.amongDebtors == null && peer.owed > 0) {
             stand(peer, now);
@@ -27,7 +27,7 @@
     /** It has taken so many of them. */
     public void took(Peer peer, int bytes, long now) {
         if (bytes > 0) {
-            budget.back(Budget.Use.OWED, bytes);
+            budget.back(Budget.Use.UNSENT_ANSWERS, bytes);
             peer.owed -= bytes;
             line.remove(peer.amongDebtors);
             peer.amongDebtors = null;
@@ -69,7 +69,7 @@
     }
 
     private boolean tooMuch() {
-        return budget.lent(Budget.Use.OWED) > limits.owedAll();
+        return budget.lent(Budget.Use.UNSENT_ANSWERS) > limits.owedAll();
     }
 
     public int size() {
--- a/router/src/main/java/ironwind/idle/Keeper.java
+++ b/router/src/main/java/ironwind/idle/Keeper.java
@@ -14,8 +14,11 @@
  */
 public final class Keeper {
     /** The order in which the chains give way; those that are busy never do. */
-    private static final Standing[] GIVING_WAY = {
-        Standing.PARTING, Standing.STRANGER, Standing.GREETED, Standing.SERVED
+    private static final ConnectionState[] GIVING_WAY = {
+        ConnectionState.CLOSING,
+        ConnectionState.STARTUP,
+        ConnectionState.UNUSED,
+        ConnectionState.IDLE
     };
 
     /** Time to read a fatal error: what is closed with input unread takes back what was written. */
@@ -24,7 +27,7 @@
     private static final double MILLION = 1e6;
 
     private final Limits limits;
-    private final Map<Standing, Chain> chains = new EnumMap<>(Standing.class);
+    private final Map<ConnectionState, Chain> chains = new EnumMap<>(ConnectionState.class);
     private final Map<Reason, long[]> ended = new EnumMap<>(Reason.class);
     private final Map<Object, Share> addresses = new HashMap<>();
     private final Map<Object, Share> customers = new HashMap<>();
@@ -35,7 +38,7 @@
     public Keeper(Limits limits) {
         this.limits = limits;
         this.newcomers = new Bucket(limits.newAtOnce());
-        for (Standing standing : Standing.values()) {
+        for (ConnectionState standing : ConnectionState.values()) {
             chains.put(standing, new Chain(standing));
         }
         for (Reason reason : Reason.values()) {
@@ -83,7 +86,7 @@
         peer.address = addresses.computeIfAbsent(address, Share::new);
         peer.address.connections++;
         inside++;
-        chain(Standing.STRANGER).enter(peer, now);
+        chain(ConnectionState.STARTUP).enter(peer, now);
     }
 
     /** Who has to give way before one more comes in; null where nobody has to or can. */
@@ -96,7 +99,7 @@
      * carries nothing.
      */
     public Peer leastKnown() {
-        for (Standing standing : GIVING_WAY) {
+        for (ConnectionState standing : GIVING_WAY) {
             Peer first = chain(standing).first();
             if (first != null) {
                 return first;
@@ -108,14 +111,14 @@
     // ---- what becomes of those inside
 
     /** It comes to a standing, or to the same anew; one that has left stays away. */
-    public void stands(Peer peer, Standing standing, long now) {
+    public void stands(Peer peer, ConnectionState standing, long now) {
         if (peer.chain == null) {
             return;
         }
         peer.chain.leave(peer);
         chain(standing).enter(peer, now);
         leaveIdle(peer);
-        if (peer.customer != null && standing == Standing.SERVED) {
+        if (peer.customer != null && standing == ConnectionState.IDLE) {
             peer.amongIdle = new Line.Place(peer);
             peer.customer.idle.append(peer.amongIdle);
         }
@@ -196,19 +199,19 @@
 
     /** Why one that is due is to end. */
     public Reason whyDue(Peer peer) {
-        Standing standing = peer.standing();
-        return standing == Standing.STRANGER || standing == Standing.HALFWAY
+        ConnectionState standing = peer.standing();
+        return standing == ConnectionState.STARTUP || standing == ConnectionState.RECEIVING
                 ? Reason.TOO_SLOW
                 : Reason.IDLE_TOO_LONG;
     }
 
-    private Span patience(Standing standing) {
+    private Span patience(ConnectionState standing) {
         return switch (standing) {
-            case PARTING -> FAREWELL;
-            case STRANGER -> limits.startupTime();
-            case HALFWAY -> limits.messageTime();
-            case GREETED -> limits.greetedTime();
-            case SERVED ->
+            case CLOSING -> FAREWELL;
+            case STARTUP -> limits.startupTime();
+            case RECEIVING -> limits.messageTime();
+            case UNUSED -> limits.greetedTime();
+            case IDLE ->
                     inside > limits.crowdedPart() * limits.connections()
                             ? limits.crowdedTime()
                             : limits.servedTime();
@@ -227,12 +230,12 @@
         return ended.get(reason)[0];
     }
 
-    public int standing(Standing standing) {
+    public int standing(ConnectionState standing) {
         return chain(standing).size();
     }
 
     /** How long the one that has stood so for longest has; zero where none does. */
-    public Span longest(Standing standing, long now) {
+    public Span longest(ConnectionState standing, long now) {
         Peer first = chain(standing).first();
         return first == null ? Span.ZERO : new Span(Math.max(0, now - first.since));
     }
@@ -249,7 +252,7 @@
         return limits;
     }
 
-    private Chain chain(Standing standing) {
+    private Chain chain(ConnectionState standing) {
         return chains.get(standing);
     }
 }
--- a/router/src/main/java/ironwind/idle/Peer.java
+++ b/router/src/main/java/ironwind/idle/Peer.java
@@ -38,7 +38,7 @@
     int owed;
 
     /** Its standing; null before it is let in and after it has left. */
-    public final Standing standing() {
+    public final ConnectionState standing() {
         return chain == null ? null : chain.standing;
     }
 
--- a/router/src/main/java/ironwind/idle/Turns.java
+++ b/router/src/main/java/ironwind/idle/Turns.java
@@ -38,7 +38,9 @@
         }
         // What has begun ends: a message of which a part is held, an answer that a second command
         // came behind.
-        boolean begun = peer.standing() == Standing.BUSY || peer.standing() == Standing.HALFWAY;
+        boolean begun =
+                peer.standing() == ConnectionState.BUSY
+                        || peer.standing() == ConnectionState.RECEIVING;
         if (now >= turnEnds + limits.turnTime().us()) {
             begin(now);
         }
--- a/router/src/main/java/ironwind/net/ClientConnection.java
+++ b/router/src/main/java/ironwind/net/ClientConnection.java
@@ -1,8 +1,8 @@
 package ironwind.net;
 
+import ironwind.idle.ConnectionState;
 import ironwind.idle.Peer;
 import ironwind.idle.Reason;
-import ironwind.idle.Standing;
 import ironwind.model.Span;
 import ironwind.pg.ClientMessage;
 import ironwind.pg.Encoder;
@@ -306,16 +306,18 @@
         }
         // One that is not read from, as it is owed much, does not keep us waiting for its message:
         // we keep it waiting.
-        Standing now =
+        ConnectionState now =
                 parting
-                        ? Standing.PARTING
+                        ? ConnectionState.CLOSING
                         : first != null || hasEnough()
-                                ? Standing.BUSY
+                                ? ConnectionState.BUSY
                                 : !started
-                                        ? Standing.STRANGER
+                                        ? ConnectionState.STARTUP
                                         : frames != null
-                                                ? Standing.HALFWAY
-                                                : served ? Standing.SERVED : Standing.GREETED;
+                                                ? ConnectionState.RECEIVING
+                                                : served
+                                                        ? ConnectionState.IDLE
+                                                        : ConnectionState.UNUSED;
         if (anew || now != standing()) {
             clients.stands(this, now);
         }
--- a/router/src/main/java/ironwind/net/Clients.java
+++ b/router/src/main/java/ironwind/net/Clients.java
@@ -3,12 +3,12 @@
 import io.netty.channel.IoEventLoop;
 import ironwind.idle.Budget;
 import ironwind.idle.Budget.Use;
+import ironwind.idle.ConnectionState;
 import ironwind.idle.Debtors;
 import ironwind.idle.Keeper;
 import ironwind.idle.Limits;
 import ironwind.idle.Peer;
 import ironwind.idle.Reason;
-import ironwind.idle.Standing;
 import ironwind.idle.SteadyTime;
 import ironwind.idle.Turns;
 import ironwind.model.Customer;
@@ -233,7 +233,7 @@
 
     /** Ends one that carries nothing, unless its client has just spoken. */
     private boolean giveWay(Peer peer, Reason reason) {
-        boolean parted = peer.standing() == Standing.PARTING;
+        boolean parted = peer.standing() == ConnectionState.CLOSING;
         boolean ended = ((ClientConnection) peer).giveWay();
         if (ended && !parted) {
             keeper.count(reason);
@@ -265,7 +265,7 @@
         for (int i = 0; i < ENDED_AT_ONCE && due != null; i++) {
             ClientConnection client = (ClientConnection) due;
             Reason why = keeper.whyDue(due);
-            if (due.standing() == Standing.PARTING) {
+            if (due.standing() == ConnectionState.CLOSING) {
                 client.cut();
             } else if (why == Reason.TOO_SLOW) {
                 keeper.count(why);
@@ -291,7 +291,7 @@
                     "bytes",
                     due.owed(),
                     "all",
-                    budget.lent(Use.OWED));
+                    budget.lent(Use.UNSENT_ANSWERS));
             ((ClientConnection) due).cut();
         }
     }
@@ -339,10 +339,10 @@
 
     boolean lend(int bytes, boolean always) {
         if (always || bytes <= 0) {
-            budget.force(Use.INCOMING, bytes);
+            budget.force(Use.PARTIAL_REQUESTS, bytes);
             return true;
         }
-        boolean lent = budget.lend(Use.INCOMING, bytes);
+        boolean lent = budget.lend(Use.PARTIAL_REQUESTS, bytes);
         if (!lent) {
             keeper.count(Reason.NO_MEMORY);
         }
@@ -352,7 +352,7 @@
     void owes(ClientConnection client, int bytes) {
         long now = now();
         debtors.owe(client, bytes, now);
-        if (budget.lent(Use.OWED) > limits.owedAll()) {
+        if (budget.lent(Use.UNSENT_ANSWERS) > limits.owedAll()) {
             soon(() -> endDebtors(now()));
         }
     }
@@ -367,7 +367,7 @@
 
     // ---- how they stand
 
-    void stands(ClientConnection client, Standing standing) {
+    void stands(ClientConnection client, ConnectionState standing) {
         keeper.stands(client, standing, now());
     }
 
@@ -376,7 +376,7 @@
         if (turns.anyWaits()) {
             callTurn();
         }
-        budget.back(Use.OPEN, exchange.lent);
+        budget.back(Use.OPEN_RPCS, exchange.lent);
         exchange.lent = 0;
         if (exchange.rpc != null) {
             Peer over = keeper.served(client, exchange.rpc.customer, now());
@@ -400,7 +400,7 @@
         debtors.forget(client);
         keeper.leave(client);
         for (Exchange exchange = unanswered; exchange != null; exchange = exchange.next) {
-            budget.back(Use.OPEN, exchange.lent);
+            budget.back(Use.OPEN_RPCS, exchange.lent);
             exchange.lent = 0;
             logic.left(exchange);
         }
@@ -476,7 +476,7 @@
                         lay,
                         turns.pushesBack(waited, bytes));
         logic.check(asked);
-        budget.force(Use.OPEN, bytes);
+        budget.force(Use.OPEN_RPCS, bytes);
         logic.arrived(client.add(statement, bytes), asked);
     }
 
@@ -506,7 +506,7 @@
     private void dismissSome() {
         Peer next = keeper.leastKnown();
         for (int i = 0; i < ENDED_AT_ONCE && next != null && keeper.inside() > 0; i++) {
-            if (next.standing() == Standing.PARTING) {
+            if (next.standing() == ConnectionState.CLOSING) {
                 ((ClientConnection) next).cut();
             } else {
                 ((ClientConnection) next).dismiss();
--- a/router/src/main/java/ironwind/net/HostConnections.java
+++ b/router/src/main/java/ironwind/net/HostConnections.java
@@ -213,7 +213,7 @@
      * is.
      */
     boolean lend(HostConnection connection, int bytes) {
-        boolean lent = needMemory.isEmpty() && budget.lend(Use.MAKING, bytes);
+        boolean lent = needMemory.isEmpty() && budget.lend(Use.PARTIAL_ANSWERS, bytes);
         if (!lent) {
             needMemory.add(connection);
             log.warn(
@@ -229,14 +229,15 @@
     }
 
     void giveBack(HostConnection connection, int bytes) {
-        budget.back(Use.MAKING, bytes);
+        budget.back(Use.PARTIAL_ANSWERS, bytes);
         needMemory.remove(connection);
         memoryFreed();
     }
 
     /** Those that wait for memory go on, as far as there is some. */
     void memoryFreed() {
-        while (!needMemory.isEmpty() && budget.lend(Use.MAKING, needMemory.peek().needs())) {
+        while (!needMemory.isEmpty()
+                && budget.lend(Use.PARTIAL_ANSWERS, needMemory.peek().needs())) {
             needMemory.poll().readOn();
         }
     }
--- a/router/src/main/java/ironwind/net/Show.java
+++ b/router/src/main/java/ironwind/net/Show.java
@@ -3,10 +3,10 @@
 import io.netty.util.internal.PlatformDependent;
 import ironwind.idle.Budget;
 import ironwind.idle.Budget.Use;
+import ironwind.idle.ConnectionState;
 import ironwind.idle.Debtors;
 import ironwind.idle.Keeper;
 import ironwind.idle.Reason;
-import ironwind.idle.Standing;
 import ironwind.idle.SteadyTime;
 import ironwind.idle.Turns;
 import ironwind.pg.Encoder;
@@ -67,10 +67,10 @@
     private List<List<String>> clients() {
         List<List<String>> rows = new ArrayList<>();
         long now = steady.at(System.nanoTime() / 1_000);
-        for (Standing standing : Standing.values()) {
+        for (ConnectionState standing : ConnectionState.values()) {
             rows.add(
                     List.of(
-                            standing.name().toLowerCase(Locale.ROOT),
+                            standing.label(),
                             Integer.toString(keeper.standing(standing)),
                             Long.toString(keeper.longest(standing, now).us() / 1_000)));
         }
--- a/router/src/test/java/ironwind/idle/KeeperTest.java
+++ b/router/src/test/java/ironwind/idle/KeeperTest.java
@@ -54,7 +54,7 @@
     private static final class Known {
         private final Peer peer = new Bare();
         private final String address;
-        private Standing standing = Standing.STRANGER;
+        private ConnectionState standing = ConnectionState.STARTUP;
         private long since;
 
         /** Orders those that came to their standing at one time. */
@@ -74,7 +74,7 @@
         return Combinators.combine(
                         Arbitraries.integers().between(0, 5),
                         Arbitraries.integers().between(0, 9),
-                        Arbitraries.integers().between(0, Standing.values().length - 1),
+                        Arbitraries.integers().between(0, ConnectionState.values().length - 1),
                         Arbitraries.longs().between(0, 30_000))
                 .as(Step::new)
                 .list()
@@ -93,7 +93,7 @@
         for (Step step : steps) {
             now += step.passes;
             act(keeper, step, now);
-            for (Standing standing : Standing.values()) {
+            for (ConnectionState standing : ConnectionState.values()) {
                 assertThat(keeper.standing(standing))
                         .isEqualTo(
                                 inside.stream()
@@ -123,7 +123,7 @@
             assertThat(keeper.refusal(address)).isEqualTo(expected);
             if (expected == null) {
                 Known known = new Known(address);
-                stand(known, Standing.STRANGER, now);
+                stand(known, ConnectionState.STARTUP, now);
                 inside.add(known);
                 keeper.enter(known.peer, address, now);
             }
@@ -145,13 +145,13 @@
                 assertThat(over).isSameAs(overCustomer(known.customer));
             }
             default -> {
-                stand(known, Standing.values()[step.standing], now);
+                stand(known, ConnectionState.values()[step.standing], now);
                 keeper.stands(known.peer, known.standing, now);
             }
         }
     }
 
-    private void stand(Known known, Standing standing, long now) {
+    private void stand(Known known, ConnectionState standing, long now) {
         known.standing = standing;
         known.since = now;
         known.order = order++;
@@ -165,7 +165,7 @@
         return all.size() <= OF_CUSTOMER
                 ? null
                 : all.stream()
-                        .filter(known -> known.standing == Standing.SERVED)
+                        .filter(known -> known.standing == ConnectionState.IDLE)
                         .filter(known -> stoodAsCustomers(known))
                         .min(Comparator.comparingLong(known -> known.order))
                         .map(known -> known.peer)
@@ -181,7 +181,7 @@
 
     private Known leastKnown() {
         return inside.stream()
-                .filter(known -> known.standing.compareTo(Standing.HALFWAY) < 0)
+                .filter(known -> known.standing.compareTo(ConnectionState.RECEIVING) < 0)
                 .min(
                         Comparator.comparing((Known known) -> known.standing)
                                 .thenComparing(known -> known.order))
@@ -195,11 +195,11 @@
                                 known -> {
                                     long patience =
                                             switch (known.standing) {
-                                                case PARTING -> 300_000;
-                                                case STRANGER -> 20_000;
-                                                case HALFWAY -> 30_000;
-                                                case GREETED -> 40_000;
-                                                case SERVED ->
+                                                case CLOSING -> 300_000;
+                                                case STARTUP -> 20_000;
+                                                case RECEIVING -> 30_000;
+                                                case UNUSED -> 40_000;
+                                                case IDLE ->
                                                         inside.size() > MOST / 2 ? 50_000 : 90_000;
                                                 case BUSY -> Long.MAX_VALUE;
                                             };
@@ -246,14 +246,14 @@
         for (Peer peer : List.of(first, second)) {
             keeper.enter(peer, "a", 1);
             keeper.served(peer, null, 1);
-            keeper.stands(peer, Standing.SERVED, 1);
+            keeper.stands(peer, ConnectionState.IDLE, 1);
         }
         assertThat(keeper.toGiveWay()).isSameAs(first);
         keeper.leave(first);
         assertThat(keeper.toGiveWay()).isNull();
-        keeper.stands(second, Standing.BUSY, 2);
+        keeper.stands(second, ConnectionState.BUSY, 2);
         keeper.enter(first, "a", 2);
-        keeper.stands(first, Standing.HALFWAY, 2);
+        keeper.stands(first, ConnectionState.RECEIVING, 2);
         assertThat(keeper.toGiveWay()).isNull();
         assertThat(keeper.refusal("b")).isEqualTo(Reason.ALL_BUSY);
     }
--- a/router/src/test/java/ironwind/idle/TurnsTest.java
+++ b/router/src/test/java/ironwind/idle/TurnsTest.java
@@ -25,7 +25,7 @@
     private final Turns turns = new Turns(LIMITS, budget);
     private final Debtors debtors = new Debtors(LIMITS, budget);
 
-    private Peer peer(Standing standing, long servedAt) {
+    private Peer peer(ConnectionState standing, long servedAt) {
         Peer peer = new KeeperTest.Bare();
         keeper.enter(peer, "a", 0);
         if (servedAt > 0) {
@@ -41,22 +41,27 @@
      */
     @ParameterizedTest(name = "{0}, answered at {1} us, {2} open, {3} bytes lent, others wait: {4}")
     @CsvSource({
-        "SERVED, 99000, 9, 900, true, true",
-        "SERVED, 30000, 0, 0, false, true",
-        "SERVED, 30000, 0, 0, true, false",
-        "SERVED, 30000, 4, 0, false, false",
-        "SERVED, 30000, 0, 800, false, true",
-        "STRANGER, 0, 0, 0, false, true",
-        "STRANGER, 0, 0, 0, true, false",
-        "HALFWAY, 0, 9, 900, true, true",
+        "IDLE, 99000, 9, 900, true, true",
+        "IDLE, 30000, 0, 0, false, true",
+        "IDLE, 30000, 0, 0, true, false",
+        "IDLE, 30000, 4, 0, false, false",
+        "IDLE, 30000, 0, 800, false, true",
+        "STARTUP, 0, 0, 0, false, true",
+        "STARTUP, 0, 0, 0, true, false",
+        "RECEIVING, 0, 9, 900, true, true",
         "BUSY, 0, 9, 900, true, true"
     })
     void whoIsReadAtOnce(
-            Standing standing, long servedAt, int open, long lent, boolean others, boolean atOnce) {
-        budget.force(Use.OPEN, lent);
+            ConnectionState standing,
+            long servedAt,
+            int open,
+            long lent,
+            boolean others,
+            boolean atOnce) {
+        budget.force(Use.OPEN_RPCS, lent);
         if (others) {
             turns.begin(0);
-            assertThat(turns.atOnce(peer(Standing.SERVED, 0), 1_500, 0)).isFalse();
+            assertThat(turns.atOnce(peer(ConnectionState.IDLE, 0), 1_500, 0)).isFalse();
         }
         assertThat(turns.atOnce(peer(standing, servedAt), 100_000, open)).isEqualTo(atOnce);
         assertThat(turns.waiting()).isEqualTo((others ? 1 : 0) + (atOnce ? 0 : 1));
@@ -68,7 +73,7 @@
         turns.begin(0);
         List<Peer> crowd = new ArrayList<>();
         for (int i = 0; i < 50; i++) {
-            Peer peer = peer(Standing.SERVED, 0);
+            Peer peer = peer(ConnectionState.IDLE, 0);
             crowd.add(peer);
             assertThat(turns.atOnce(peer, 1_200, 0)).isFalse();
             assertThat(turns.atOnce(peer, 1_200, 0)).isFalse();
@@ -96,7 +101,7 @@
     @Test
     void whoWaitedTooLongIsReadToBePushedBack() {
         turns.begin(0);
-        Peer peer = peer(Standing.SERVED, 0);
+        Peer peer = peer(ConnectionState.IDLE, 0);
         assertThat(turns.atOnce(peer, 1_500, 4)).isFalse();
         turns.begin(40_000);
         assertThat(turns.next(40_000, 4)).isNull();
@@ -153,7 +158,7 @@
                 }
             }
             long sum = queue.stream().mapToLong(owed -> owed.bytes[0]).sum();
-            assertThat(own.lent(Use.OWED)).isEqualTo(sum);
+            assertThat(own.lent(Use.UNSENT_ANSWERS)).isEqualTo(sum);
             boolean due = !queue.isEmpty() && (sum > 400 || now - queue.peek().tookAt[0] > 100_000);
             assertThat(all.due(now)).isSameAs(due ? queue.peek().peer : null);
             assertThat(all.whyDue())
@@ -168,15 +173,15 @@
 
     @Test
     void theBudgetLendsNoMoreThanThereIs() {
-        assertThat(budget.lend(Use.INCOMING, 700)).isTrue();
-        assertThat(budget.lend(Use.MAKING, 301)).isFalse();
-        assertThat(budget.lend(Use.MAKING, 300)).isTrue();
-        budget.force(Use.OWED, 50);
+        assertThat(budget.lend(Use.PARTIAL_REQUESTS, 700)).isTrue();
+        assertThat(budget.lend(Use.PARTIAL_ANSWERS, 301)).isFalse();
+        assertThat(budget.lend(Use.PARTIAL_ANSWERS, 300)).isTrue();
+        budget.force(Use.UNSENT_ANSWERS, 50);
         assertThat(budget.sum()).isEqualTo(1_050);
-        assertThat(budget.lend(Use.INCOMING, -700)).isTrue();
-        assertThat(budget.refused(Use.MAKING)).isEqualTo(1);
+        assertThat(budget.lend(Use.PARTIAL_REQUESTS, -700)).isTrue();
+        assertThat(budget.refused(Use.PARTIAL_ANSWERS)).isEqualTo(1);
         assertThat(budget.highest()).isEqualTo(1_050);
-        assertThatThrownBy(() -> budget.back(Use.MAKING, 301))
+        assertThatThrownBy(() -> budget.back(Use.PARTIAL_ANSWERS, 301))
                 .isInstanceOf(IllegalStateException.class);
     }
 
--- /dev/null
+++ b/router/src/test/java/ironwind/net/ShowTest.java
@@ -0,0 +1,89 @@
+package ironwind.net;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import ironwind.idle.Budget;
+import ironwind.idle.Debtors;
+import ironwind.idle.Keeper;
+import ironwind.idle.Limits;
+import ironwind.idle.Reason;
+import ironwind.idle.SteadyTime;
+import ironwind.idle.Turns;
+import ironwind.model.Span;
+import ironwind.pg.Encoder;
+import java.nio.charset.StandardCharsets;
+import java.util.Arrays;
+import java.util.List;
+import java.util.stream.Stream;
+import org.junit.jupiter.api.Test;
+
+/** The names that {@code SHOW} prints for enum constants, which operators' tools match. */
+class ShowTest {
+    private static final Limits LIMITS =
+            Limits.of(10, 64, Span.ofMillis(100), Span.ofMillis(1_000));
+
+    private final Budget budget = new Budget(LIMITS.memory());
+
+    /** Answers what needs no logic task, which is all but {@code SHOW idle}. */
+    private final Show show =
+            new Show(
+                    new Counters(),
+                    new Keeper(LIMITS),
+                    budget,
+                    new Debtors(LIMITS, budget),
+                    new Turns(LIMITS, budget),
+                    new SteadyTime(Span.ofMillis(500)),
+                    null);
+
+    @Test
+    void showClientsPrintsTheStatesByTheirOuterNames() {
+        List<List<String>> rows =
+                Stream.of("parting", "stranger", "greeted", "served", "halfway", "busy")
+                        .map(label -> List.of(label, "0", "0"))
+                        .toList();
+        assertThat(show.answerTo("SHOW clients"))
+                .isEqualTo(
+                        Encoder.table(
+                                List.of("standing", "connections", "longest_in_it_ms"), rows));
+    }
+
+    @Test
+    void showMemoryPrintsTheUsesByTheirOuterNames() {
+        List<String> names =
+                List.of(
+                        "incoming",
+                        "open",
+                        "making",
+                        "owed",
+                        "all",
+                        "highest",
+                        "limit",
+                        "heap",
+                        "heap_limit",
+                        "direct");
+        String[] rows =
+                new String(show.answerTo("SHOW memory"), StandardCharsets.UTF_8).split("D\0");
+        assertThat(rows).hasSize(names.size() + 1);
+        for (int i = 0; i < names.size(); i++) {
+            String name = names.get(i);
+            // A value follows its length, a 32-bit number, and precedes the next value's length.
+            assertThat(rows[i + 1]).contains((char) name.length() + name + "\0");
+        }
+    }
+
+    /** {@code SHOW idle} prints the reasons in lower case behind {@code ended_}, the log as is. */
+    @Test
+    void theReasonsKeepTheirOuterNames() {
+        assertThat(Arrays.stream(Reason.values()).map(Reason::toString))
+                .containsExactly(
+                        "GAVE_WAY",
+                        "ALL_BUSY",
+                        "ADDRESS_FULL",
+                        "CUSTOMER_FULL",
+                        "TOO_SLOW",
+                        "IDLE_TOO_LONG",
+                        "SLOW_READER",
+                        "OWED_TOO_MUCH",
+                        "NO_MEMORY");
+    }
+}
