--- a/lab/src/main/java/ironwind/lab/KeeperTrial.java
+++ b/lab/src/main/java/ironwind/lab/KeeperTrial.java
@@ -2,12 +2,12 @@
 
 import io.vertx.core.json.JsonArray;
 import io.vertx.core.json.JsonObject;
-import ironwind.idle.Budget;
+import ironwind.idle.ConnectionManager;
 import ironwind.idle.ConnectionState;
-import ironwind.idle.Debtors;
-import ironwind.idle.Keeper;
 import ironwind.idle.Limits;
-import ironwind.idle.Peer;
+import ironwind.idle.MemoryBudget;
+import ironwind.idle.TrackedConnection;
+import ironwind.idle.UnsentAnswers;
 import ironwind.model.Span;
 import java.io.PrintStream;
 import java.util.Arrays;
@@ -29,7 +29,7 @@
     }
 
     /** A connection without a socket. */
-    private static final class Bare extends Peer {}
+    private static final class Bare extends TrackedConnection {}
 
     /**
      * The median over rounds, in nanoseconds a step, and the bytes kept a connection, at each size.
@@ -68,17 +68,17 @@
     private double[] measure(int size) throws InterruptedException {
         long before = used();
         Limits limits = Limits.of(size, 512, Span.ofMillis(1_000), Span.ofMillis(1_000));
-        Keeper keeper = new Keeper(limits);
-        Debtors debtors = new Debtors(limits, new Budget(MEMORY));
-        Peer[] peers = new Peer[size];
+        ConnectionManager keeper = new ConnectionManager(limits);
+        UnsentAnswers debtors = new UnsentAnswers(limits, new MemoryBudget(MEMORY));
+        TrackedConnection[] peers = new TrackedConnection[size];
         Object[] addresses = new Object[ADDRESSES];
         Arrays.setAll(addresses, i -> "address " + i);
         long now = 1;
         for (int i = 0; i < size; i++) {
             peers[i] = new Bare();
-            keeper.enter(peers[i], addresses[i % ADDRESSES], now);
-            keeper.served(peers[i], null, now);
-            keeper.stands(peers[i], ConnectionState.IDLE, now);
+            keeper.add(peers[i], addresses[i % ADDRESSES], now);
+            keeper.recordAnswer(peers[i], null, now);
+            keeper.setState(peers[i], ConnectionState.IDLE, now);
         }
         double kept = (used() - before) / (double) size;
         SplittableRandom random = new SplittableRandom(1);
@@ -89,24 +89,24 @@
         for (int round = 0; round < ROUNDS; round++) {
             long begun = System.nanoTime();
             for (int i = 0; i < STEPS; i++) {
-                found += keeper.due(now) == null ? 0 : 1;
-                found += debtors.due(now) == null ? 0 : 1;
+                found += keeper.nextExpired(now) == null ? 0 : 1;
+                found += debtors.nextToClose(now) == null ? 0 : 1;
             }
             look[round] = (System.nanoTime() - begun) / (double) STEPS;
             begun = System.nanoTime();
             for (int i = 0; i < STEPS; i++) {
-                Peer peer = peers[random.nextInt(size)];
-                keeper.stands(peer, ConnectionState.BUSY, now);
-                keeper.served(peer, null, now);
-                keeper.stands(peer, ConnectionState.IDLE, now);
+                TrackedConnection peer = peers[random.nextInt(size)];
+                keeper.setState(peer, ConnectionState.BUSY, now);
+                keeper.recordAnswer(peer, null, now);
+                keeper.setState(peer, ConnectionState.IDLE, now);
             }
             answer[round] = (System.nanoTime() - begun) / (double) STEPS;
             begun = System.nanoTime();
             for (int i = 0; i < STEPS; i++) {
-                Peer least = keeper.toGiveWay();
-                keeper.leave(least);
-                keeper.enter(least, addresses[i % ADDRESSES], now);
-                keeper.stands(least, ConnectionState.IDLE, now);
+                TrackedConnection least = keeper.evictionCandidateIfFull();
+                keeper.remove(least);
+                keeper.add(least, addresses[i % ADDRESSES], now);
+                keeper.setState(least, ConnectionState.IDLE, now);
             }
             give[round] = (System.nanoTime() - begun) / (double) STEPS;
         }
--- a/router/src/main/java/ironwind/idle/Reason.java
+++ b/router/src/main/java/ironwind/idle/CloseReason.java
@@ -4,7 +4,7 @@
  * Why a connection is ended by us, or not let in. The counters {@code idle_*} and the log bear
  * these names.
  */
-public enum Reason {
+public enum CloseReason {
     /** Room ended, and of all that carry nothing it was the least known. */
     GAVE_WAY("53300", "the router is full of connections"),
     /** Room ended, and everyone carries something. */
@@ -25,12 +25,12 @@
     NO_MEMORY("53200", "no memory is left for this message");
 
     /** SQLSTATE of the error that tells of it, where it can still be told. */
-    public final String code;
+    public final String sqlState;
 
-    public final String words;
+    public final String message;
 
-    Reason(String code, String words) {
-        this.code = code;
-        this.words = words;
+    CloseReason(String sqlState, String message) {
+        this.sqlState = sqlState;
+        this.message = message;
     }
 }
--- a/router/src/main/java/ironwind/idle/Keeper.java
+++ b/router/src/main/java/ironwind/idle/ConnectionManager.java
@@ -12,7 +12,7 @@
  * next whose time is out and the next to give way: no step walks over connections, and none has a
  * timer.
  */
-public final class Keeper {
+public final class ConnectionManager {
     /** The order in which the chains give way; those that are busy never do. */
     private static final ConnectionState[] GIVING_WAY = {
         ConnectionState.CLOSING,
@@ -27,21 +27,21 @@
     private static final double MILLION = 1e6;
 
     private final Limits limits;
-    private final Map<ConnectionState, Chain> chains = new EnumMap<>(ConnectionState.class);
-    private final Map<Reason, long[]> ended = new EnumMap<>(Reason.class);
-    private final Map<Object, Share> addresses = new HashMap<>();
-    private final Map<Object, Share> customers = new HashMap<>();
+    private final Map<ConnectionState, StateQueue> chains = new EnumMap<>(ConnectionState.class);
+    private final Map<CloseReason, long[]> ended = new EnumMap<>(CloseReason.class);
+    private final Map<Object, ConnectionUsage> addresses = new HashMap<>();
+    private final Map<Object, ConnectionUsage> customers = new HashMap<>();
     private int inside;
     private final Bucket newcomers;
     private long filledAt;
 
-    public Keeper(Limits limits) {
+    public ConnectionManager(Limits limits) {
         this.limits = limits;
         this.newcomers = new Bucket(limits.newAtOnce());
         for (ConnectionState standing : ConnectionState.values()) {
-            chains.put(standing, new Chain(standing));
+            chains.put(standing, new StateQueue(standing));
         }
-        for (Reason reason : Reason.values()) {
+        for (CloseReason reason : CloseReason.values()) {
             ended.put(reason, new long[1]);
         }
     }
@@ -49,13 +49,13 @@
     // ---- the door
 
     /** Whether one more may be taken from the system's queue now. */
-    public boolean opens(long now) {
+    public boolean mayAccept(long now) {
         fill(now);
         return limits.newPerSecond() == 0 || !newcomers.empty();
     }
 
     /** How long until then; at least a millisecond. */
-    public Span opensIn(long now) {
+    public Span nextAcceptIn(long now) {
         fill(now);
         double seconds = newcomers.missing() / Math.max(1, limits.newPerSecond());
         return new Span((long) (seconds * MILLION)).longer(Span.ofMillis(1));
@@ -68,39 +68,39 @@
     }
 
     /** Why one from this address is not let in; null where it may come in. Counts a refusal. */
-    public Reason refusal(Object address) {
-        Share share = addresses.get(address);
+    public CloseReason refusalReason(Object address) {
+        ConnectionUsage share = addresses.get(address);
         if (limits.perAddress() > 0 && share != null && share.connections >= limits.perAddress()) {
-            return count(Reason.ADDRESS_FULL);
+            return recordClose(CloseReason.ADDRESS_FULL);
         }
-        if (inside >= limits.connections() && leastKnown() == null) {
-            return count(Reason.ALL_BUSY);
+        if (inside >= limits.connections() && evictionCandidate() == null) {
+            return recordClose(CloseReason.ALL_BUSY);
         }
         return null;
     }
 
     /** Lets one in. */
-    public void enter(Peer peer, Object address, long now) {
+    public void add(TrackedConnection peer, Object address, long now) {
         fill(now);
         newcomers.take();
-        peer.address = addresses.computeIfAbsent(address, Share::new);
+        peer.address = addresses.computeIfAbsent(address, ConnectionUsage::new);
         peer.address.connections++;
         inside++;
         chain(ConnectionState.STARTUP).enter(peer, now);
     }
 
     /** Who has to give way before one more comes in; null where nobody has to or can. */
-    public Peer toGiveWay() {
-        return inside >= limits.connections() ? leastKnown() : null;
+    public TrackedConnection evictionCandidateIfFull() {
+        return inside >= limits.connections() ? evictionCandidate() : null;
     }
 
     /**
      * Who may be let go between two requests, least known first; null where nobody is left that
      * carries nothing.
      */
-    public Peer leastKnown() {
+    public TrackedConnection evictionCandidate() {
         for (ConnectionState standing : GIVING_WAY) {
-            Peer first = chain(standing).first();
+            TrackedConnection first = chain(standing).first();
             if (first != null) {
                 return first;
             }
@@ -111,7 +111,7 @@
     // ---- what becomes of those inside
 
     /** It comes to a standing, or to the same anew; one that has left stays away. */
-    public void stands(Peer peer, ConnectionState standing, long now) {
+    public void setState(TrackedConnection peer, ConnectionState standing, long now) {
         if (peer.chain == null) {
             return;
         }
@@ -119,7 +119,7 @@
         chain(standing).enter(peer, now);
         leaveIdle(peer);
         if (peer.customer != null && standing == ConnectionState.IDLE) {
-            peer.amongIdle = new Line.Place(peer);
+            peer.amongIdle = new ConnectionQueue.Node(peer);
             peer.customer.idle.append(peer.amongIdle);
         }
     }
@@ -128,15 +128,15 @@
      * It has had an answer, on behalf of a customer (null where there are none). Who has to give
      * way as that customer has too many; null where nobody has to.
      */
-    public Peer served(Peer peer, Object customer, long now) {
+    public TrackedConnection recordAnswer(TrackedConnection peer, Object customer, long now) {
         if (peer.chain == null) {
             return null;
         }
         peer.servedAt = now;
-        Share share =
+        ConnectionUsage share =
                 customer == null || limits.perCustomer() == 0
                         ? null
-                        : customers.computeIfAbsent(customer, Share::new);
+                        : customers.computeIfAbsent(customer, ConnectionUsage::new);
         if (peer.customer != share) {
             leaveCustomer(peer);
             peer.customer = share;
@@ -148,16 +148,16 @@
         return over ? share.idle.first() : null;
     }
 
-    private void leaveIdle(Peer peer) {
+    private void leaveIdle(TrackedConnection peer) {
         if (peer.amongIdle != null) {
             peer.customer.idle.remove(peer.amongIdle);
             peer.amongIdle = null;
         }
     }
 
-    private void leaveCustomer(Peer peer) {
+    private void leaveCustomer(TrackedConnection peer) {
         leaveIdle(peer);
-        Share share = peer.customer;
+        ConnectionUsage share = peer.customer;
         if (share != null) {
             share.connections--;
             if (share.connections == 0) {
@@ -168,7 +168,7 @@
     }
 
     /** It is gone; a second time does nothing. */
-    public void leave(Peer peer) {
+    public void remove(TrackedConnection peer) {
         if (peer.chain == null) {
             return;
         }
@@ -183,12 +183,12 @@
     }
 
     /**
-     * One whose time is out, for {@link #whyDue}; null where none is. It is told again until it
-     * moves or leaves.
+     * One whose time is out, for {@link #expiryReason}; null where none is. It is told again until
+     * it moves or leaves.
      */
-    public Peer due(long now) {
-        for (Chain chain : chains.values()) {
-            Peer first = chain.first();
+    public TrackedConnection nextExpired(long now) {
+        for (StateQueue chain : chains.values()) {
+            TrackedConnection first = chain.first();
             Span patience = patience(chain.standing);
             if (first != null && patience.us() > 0 && now - first.since > patience.us()) {
                 return first;
@@ -198,11 +198,11 @@
     }
 
     /** Why one that is due is to end. */
-    public Reason whyDue(Peer peer) {
-        ConnectionState standing = peer.standing();
+    public CloseReason expiryReason(TrackedConnection peer) {
+        ConnectionState standing = peer.state();
         return standing == ConnectionState.STARTUP || standing == ConnectionState.RECEIVING
-                ? Reason.TOO_SLOW
-                : Reason.IDLE_TOO_LONG;
+                ? CloseReason.TOO_SLOW
+                : CloseReason.IDLE_TOO_LONG;
     }
 
     private Span patience(ConnectionState standing) {
@@ -221,30 +221,30 @@
 
     // ---- figures
 
-    public Reason count(Reason reason) {
+    public CloseReason recordClose(CloseReason reason) {
         ended.get(reason)[0]++;
         return reason;
     }
 
-    public long ended(Reason reason) {
+    public long closedCount(CloseReason reason) {
         return ended.get(reason)[0];
     }
 
-    public int standing(ConnectionState standing) {
+    public int countInState(ConnectionState standing) {
         return chain(standing).size();
     }
 
     /** How long the one that has stood so for longest has; zero where none does. */
-    public Span longest(ConnectionState standing, long now) {
-        Peer first = chain(standing).first();
+    public Span longestInState(ConnectionState standing, long now) {
+        TrackedConnection first = chain(standing).first();
         return first == null ? Span.ZERO : new Span(Math.max(0, now - first.since));
     }
 
-    public int inside() {
+    public int connectionCount() {
         return inside;
     }
 
-    public int addresses() {
+    public int addressCount() {
         return addresses.size();
     }
 
@@ -252,7 +252,7 @@
         return limits;
     }
 
-    private Chain chain(ConnectionState standing) {
+    private StateQueue chain(ConnectionState standing) {
         return chains.get(standing);
     }
 }
--- a/router/src/main/java/ironwind/idle/Line.java
+++ b/router/src/main/java/ironwind/idle/ConnectionQueue.java
@@ -4,24 +4,24 @@
  * Connections in the order in which they came to it, linked through their places: every step costs
  * the same.
  */
-class Line {
-    private Place first;
-    private Place last;
+class ConnectionQueue {
+    private Node first;
+    private Node last;
     private int size;
 
     /** Where one connection stands in one line. */
-    static final class Place {
-        final Peer peer;
-        private Place before;
-        private Place after;
+    static final class Node {
+        final TrackedConnection peer;
+        private Node before;
+        private Node after;
 
-        Place(Peer peer) {
+        Node(TrackedConnection peer) {
             this.peer = peer;
         }
     }
 
     /** Who came first; null where nobody stands here. */
-    final Peer first() {
+    final TrackedConnection first() {
         return first == null ? null : first.peer;
     }
 
@@ -29,7 +29,7 @@
         return size;
     }
 
-    final void append(Place place) {
+    final void append(Node place) {
         place.before = last;
         if (last == null) {
             first = place;
@@ -40,7 +40,7 @@
         size++;
     }
 
-    final void remove(Place place) {
+    final void remove(Node place) {
         if (place.before == null) {
             first = place.after;
         } else {
--- a/router/src/main/java/ironwind/idle/Share.java
+++ b/router/src/main/java/ironwind/idle/ConnectionUsage.java
@@ -4,12 +4,12 @@
  * What one address or one customer has of the room: a count, and of a customer the idle ones,
  * longest idle first.
  */
-final class Share {
+final class ConnectionUsage {
     final Object key;
-    final Line idle = new Line();
+    final ConnectionQueue idle = new ConnectionQueue();
     int connections;
 
-    Share(Object key) {
+    ConnectionUsage(Object key) {
         this.key = key;
     }
 }
--- a/router/src/main/java/ironwind/idle/Budget.java
+++ b/router/src/main/java/ironwind/idle/MemoryBudget.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 
 /** Memory that is lent while data is there, in bytes, told apart by what it is lent for. */
-public final class Budget {
+public final class MemoryBudget {
     /** What memory is lent for. */
     public enum Use {
         /** Messages from clients that have arrived in part. */
@@ -39,7 +39,7 @@
     private long sum;
     private long highest;
 
-    public Budget(long bytes) {
+    public MemoryBudget(long bytes) {
         this.all = bytes;
         for (Use use : Use.values()) {
             lent.put(use, new long[1]);
@@ -48,19 +48,19 @@
     }
 
     /** Lends, where so much is left. */
-    public boolean lend(Use use, long bytes) {
+    public boolean tryReserve(Use use, long bytes) {
         if (bytes > 0 && sum + bytes > all) {
             refused.get(use)[0]++;
             return false;
         }
-        force(use, bytes);
+        forceReserve(use, bytes);
         return true;
     }
 
     /**
      * Lends what cannot be refused, such as an answer that is owed; a negative number gives back.
      */
-    public void force(Use use, long bytes) {
+    public void forceReserve(Use use, long bytes) {
         long[] of = lent.get(use);
         if (of[0] + bytes < 0) {
             throw new IllegalStateException("more is given back than was lent for " + use);
@@ -71,8 +71,8 @@
     }
 
     /** Gives back. */
-    public void back(Use use, long bytes) {
-        force(use, -bytes);
+    public void release(Use use, long bytes) {
+        forceReserve(use, -bytes);
     }
 
     /** Whether so much may be lent for something that has not begun. */
@@ -80,23 +80,23 @@
         return sum + bytes <= NEW_PART * all;
     }
 
-    public long lent(Use use) {
+    public long reserved(Use use) {
         return lent.get(use)[0];
     }
 
-    public long refused(Use use) {
+    public long refusedCount(Use use) {
         return refused.get(use)[0];
     }
 
-    public long sum() {
+    public long totalReserved() {
         return sum;
     }
 
-    public long highest() {
+    public long peakReserved() {
         return highest;
     }
 
-    public long all() {
+    public long limit() {
         return all;
     }
 }
--- a/router/src/main/java/ironwind/idle/SteadyTime.java
+++ b/router/src/main/java/ironwind/idle/MonotonicTime.java
@@ -8,7 +8,7 @@
  * collection) would otherwise make all connections look as if they had been silent for as long,
  * though what they said waits to be read.
  */
-public final class SteadyTime {
+public final class MonotonicTime {
     private final long mostUs;
     private long lastRead;
     private long now;
@@ -16,7 +16,7 @@
     private boolean started;
 
     /** One step is no longer than this, however long it took by the clock. */
-    public SteadyTime(Span most) {
+    public MonotonicTime(Span most) {
         this.mostUs = most.us();
     }
 
@@ -24,7 +24,7 @@
      * Takes a reading of a clock, in microseconds from anywhere, and tells the time since the
      * first.
      */
-    public long at(long readingUs) {
+    public long advance(long readingUs) {
         if (started) {
             long passed = Math.max(0, readingUs - lastRead);
             now += Math.min(passed, mostUs);
@@ -36,7 +36,7 @@
     }
 
     /** Time that passed while the router did not run. */
-    public Span leftOut() {
+    public Span skipped() {
         return new Span(leftOutUs);
     }
 }
--- a/router/src/main/java/ironwind/idle/Turns.java
+++ b/router/src/main/java/ironwind/idle/ReadScheduler.java
@@ -9,53 +9,52 @@
  * waits. What has waited for so long that it can hardly be served in its time is read to be pushed
  * back, as is what finds no memory: an answer takes none that is kept.
  */
-public final class Turns {
+public final class ReadScheduler {
     private final Limits limits;
-    private final Budget budget;
-    private final Line line = new Line();
+    private final MemoryBudget budget;
+    private final ConnectionQueue line = new ConnectionQueue();
     private int mostWaiting;
     private long turnEnds;
     private long deferred;
     private long shed;
 
-    public Turns(Limits limits, Budget budget) {
+    public ReadScheduler(Limits limits, MemoryBudget budget) {
         this.limits = limits;
         this.budget = budget;
     }
 
     /** A turn begins: for its time the crowd may be read. */
-    public void begin(long now) {
+    public void beginTurn(long now) {
         turnEnds = now + limits.turnTime().us();
     }
 
     /**
      * Whether one that has something to say is read at once; else it waits, and is told by {@link
-     * #next}.
+     * #poll}.
      */
-    public boolean atOnce(Peer peer, long now, int openRpcs) {
-        if (waits(peer)) {
+    public boolean readNowOrEnqueue(TrackedConnection peer, long now, int openRpcs) {
+        if (isQueued(peer)) {
             return false;
         }
         // What has begun ends: a message of which a part is held, an answer that a second command
         // came behind.
         boolean begun =
-                peer.standing() == ConnectionState.BUSY
-                        || peer.standing() == ConnectionState.RECEIVING;
+                peer.state() == ConnectionState.BUSY || peer.state() == ConnectionState.RECEIVING;
         if (now >= turnEnds + limits.turnTime().us()) {
-            begin(now);
+            beginTurn(now);
         }
-        if (begun || isActive(peer, now) || !anyWaits() && now < turnEnds && hasRoom(openRpcs)) {
+        if (begun || isActive(peer, now) || !hasQueued() && now < turnEnds && hasRoom(openRpcs)) {
             return true;
         }
         peer.waitsSince = now;
-        peer.amongWaiting = new Line.Place(peer);
+        peer.amongWaiting = new ConnectionQueue.Node(peer);
         line.append(peer.amongWaiting);
         deferred++;
         mostWaiting = Math.max(mostWaiting, line.size());
         return false;
     }
 
-    private boolean isActive(Peer peer, long now) {
+    private boolean isActive(TrackedConnection peer, long now) {
         return now - peer.servedAt < limits.activeTime().us();
     }
 
@@ -63,11 +62,11 @@
      * The next to be read in this turn; null where the turn is over or none may be. Skips those
      * that have left.
      */
-    public Peer next(long now, int openRpcs) {
-        while (anyWaits() && line.first().standing() == null) {
+    public TrackedConnection poll(long now, int openRpcs) {
+        while (hasQueued() && line.first().state() == null) {
             pop();
         }
-        if (now >= turnEnds || !hasTurn(now, openRpcs)) {
+        if (now >= turnEnds || !hasEligible(now, openRpcs)) {
             return null;
         }
         if (late(now)) {
@@ -76,8 +75,8 @@
         return pop();
     }
 
-    private Peer pop() {
-        Peer peer = line.first();
+    private TrackedConnection pop() {
+        TrackedConnection peer = line.first();
         line.remove(peer.amongWaiting);
         peer.amongWaiting = null;
         return peer;
@@ -86,11 +85,11 @@
     /**
      * Whether one would be read in a new turn: else there is nothing to do until an RPC has ended.
      */
-    public boolean hasTurn(long now, int openRpcs) {
-        return anyWaits() && (hasRoom(openRpcs) || late(now));
+    public boolean hasEligible(long now, int openRpcs) {
+        return hasQueued() && (hasRoom(openRpcs) || late(now));
     }
 
-    public boolean waits(Peer peer) {
+    public boolean isQueued(TrackedConnection peer) {
         return peer.amongWaiting != null;
     }
 
@@ -103,39 +102,39 @@
     }
 
     /** How long it had something to say before it is read now. */
-    public Span waited(Peer peer, long now) {
+    public Span queueTime(TrackedConnection peer, long now) {
         return peer.waitsSince == 0 ? Span.ZERO : new Span(Math.max(0, now - peer.waitsSince));
     }
 
     /**
      * Whether an RPC that was read after such a wait, and of so many bytes, is to be pushed back.
      */
-    public boolean pushesBack(Span waited, long bytes) {
+    public boolean shouldPushBack(Span waited, long bytes) {
         return waited.longerThan(limits.crowdTime()) || !budget.hasRoomForNew(bytes);
     }
 
     /** What has come of it is read: it waits for no turn. */
-    public void heard(Peer peer) {
+    public void markRead(TrackedConnection peer) {
         peer.waitsSince = 0;
     }
 
-    public boolean anyWaits() {
+    public boolean hasQueued() {
         return line.first() != null;
     }
 
-    public int waiting() {
+    public int queueSize() {
         return line.size();
     }
 
-    public int mostWaiting() {
+    public int peakQueueSize() {
         return mostWaiting;
     }
 
-    public long deferred() {
+    public long deferredReads() {
         return deferred;
     }
 
-    public long shed() {
+    public long lateReads() {
         return shed;
     }
 }
--- a/router/src/main/java/ironwind/idle/Peer.java
+++ b/router/src/main/java/ironwind/idle/TrackedConnection.java
@@ -4,24 +4,24 @@
  * What is kept of one connection: places in lines, and numbers, so that an idle connection has no
  * list, map or timer of its own. Whoever does its I/O extends it.
  */
-public abstract class Peer {
+public abstract class TrackedConnection {
     /** Its standing, and its place there. */
-    Chain chain;
+    StateQueue chain;
 
-    final Line.Place inChain = new Line.Place(this);
-    Share address;
-    Share customer;
+    final ConnectionQueue.Node inChain = new ConnectionQueue.Node(this);
+    ConnectionUsage address;
+    ConnectionUsage customer;
 
     /** Among its customer's idle ones, while it is served and idle; null otherwise. */
-    Line.Place amongIdle;
+    ConnectionQueue.Node amongIdle;
 
     /**
      * Among those that are owed something, and among those that wait to be read; null where it is
      * not.
      */
-    Line.Place amongDebtors;
+    ConnectionQueue.Node amongDebtors;
 
-    Line.Place amongWaiting;
+    ConnectionQueue.Node amongWaiting;
 
     /**
      * Steady microseconds: when it came to its standing, took of what it is owed, began to wait for
@@ -38,12 +38,12 @@
     int owed;
 
     /** Its standing; null before it is let in and after it has left. */
-    public final ConnectionState standing() {
+    public final ConnectionState state() {
         return chain == null ? null : chain.standing;
     }
 
     /** Bytes of answers that its socket has not taken. */
-    public final int owed() {
+    public final int unsentBytes() {
         return owed;
     }
 }
--- a/router/src/main/java/ironwind/idle/Debtors.java
+++ b/router/src/main/java/ironwind/idle/UnsentAnswers.java
@@ -5,19 +5,19 @@
  * took any: the first is both the next whose time is out and the first to end where all are owed
  * too much.
  */
-public final class Debtors {
+public final class UnsentAnswers {
     private final Limits limits;
-    private final Budget budget;
-    private final Line line = new Line();
+    private final MemoryBudget budget;
+    private final ConnectionQueue line = new ConnectionQueue();
 
-    public Debtors(Limits limits, Budget budget) {
+    public UnsentAnswers(Limits limits, MemoryBudget budget) {
         this.limits = limits;
         this.budget = budget;
     }
 
     /** So many bytes more are owed to it. */
-    public void owe(Peer peer, int bytes, long now) {
-        budget.force(Budget.Use.UNSENT_ANSWERS, bytes);
+    public void add(TrackedConnection peer, int bytes, long now) {
+        budget.forceReserve(MemoryBudget.Use.UNSENT_ANSWERS, bytes);
         peer.owed += bytes;
         if (peer.amongDebtors == null && peer.owed > 0) {
             stand(peer, now);
@@ -25,9 +25,9 @@
     }
 
     /** It has taken so many of them. */
-    public void took(Peer peer, int bytes, long now) {
+    public void drained(TrackedConnection peer, int bytes, long now) {
         if (bytes > 0) {
-            budget.back(Budget.Use.UNSENT_ANSWERS, bytes);
+            budget.release(MemoryBudget.Use.UNSENT_ANSWERS, bytes);
             peer.owed -= bytes;
             line.remove(peer.amongDebtors);
             peer.amongDebtors = null;
@@ -37,42 +37,42 @@
         }
     }
 
-    private void stand(Peer peer, long now) {
+    private void stand(TrackedConnection peer, long now) {
         peer.tookAt = now;
-        peer.amongDebtors = new Line.Place(peer);
+        peer.amongDebtors = new ConnectionQueue.Node(peer);
         line.append(peer.amongDebtors);
     }
 
     /** It is gone, and nothing is owed to it. */
-    public void forget(Peer peer) {
-        took(peer, peer.owed, 0);
+    public void remove(TrackedConnection peer) {
+        drained(peer, peer.owed, 0);
     }
 
     /** Whether nothing more is to be read from it. */
-    public boolean ahead(Peer peer) {
+    public boolean isOverClientLimit(TrackedConnection peer) {
         return peer.owed > limits.owedEach();
     }
 
     /**
-     * One that is to end, for {@link #whyDue}; null where none is. It is told again until it is
-     * forgotten.
+     * One that is to end, for {@link #closeReason}; null where none is. It is told again until it
+     * is forgotten.
      */
-    public Peer due(long now) {
-        Peer first = line.first();
+    public TrackedConnection nextToClose(long now) {
+        TrackedConnection first = line.first();
         return first != null && (tooMuch() || now - first.tookAt > limits.slowReaderTime().us())
                 ? first
                 : null;
     }
 
-    public Reason whyDue() {
-        return tooMuch() ? Reason.OWED_TOO_MUCH : Reason.SLOW_READER;
+    public CloseReason closeReason() {
+        return tooMuch() ? CloseReason.OWED_TOO_MUCH : CloseReason.SLOW_READER;
     }
 
     private boolean tooMuch() {
-        return budget.lent(Budget.Use.UNSENT_ANSWERS) > limits.owedAll();
+        return budget.reserved(MemoryBudget.Use.UNSENT_ANSWERS) > limits.owedAll();
     }
 
-    public int size() {
+    public int clientCount() {
         return line.size();
     }
 }
--- a/router/src/main/java/ironwind/net/ClientConnection.java
+++ b/router/src/main/java/ironwind/net/ClientConnection.java
@@ -1,8 +1,8 @@
 package ironwind.net;
 
+import ironwind.idle.CloseReason;
 import ironwind.idle.ConnectionState;
-import ironwind.idle.Peer;
-import ironwind.idle.Reason;
+import ironwind.idle.TrackedConnection;
 import ironwind.model.Span;
 import ironwind.pg.ClientMessage;
 import ironwind.pg.Encoder;
@@ -19,7 +19,7 @@
  * One client's connection: its commands are taken as they come and answered in their order. While
  * it says nothing it holds no buffer, no list and no timer.
  */
-final class ClientConnection extends Peer implements LoopSocket.Owner {
+final class ClientConnection extends TrackedConnection implements LoopSocket.Owner {
     /**
      * Commands of a client that are read ahead of the answer to the first: each may hold a value in
      * memory.
@@ -153,7 +153,7 @@
             // Where whole commands wait behind unanswered ones they were taken, and are not to be
             // lost.
             if (!clients.lend(size - lent, hasEnough())) {
-                throw new PgFault(Reason.NO_MEMORY.code, Reason.NO_MEMORY.words);
+                throw new PgFault(CloseReason.NO_MEMORY.sqlState, CloseReason.NO_MEMORY.message);
             }
             lent = size;
         }
@@ -212,8 +212,8 @@
     }
 
     /** The same for a reason of ours; {@code comeBack} tells when another try makes sense. */
-    void turnAway(Reason reason, Span comeBack) {
-        Failure failure = new Failure(reason.code, reason.words, Timers.told(comeBack));
+    void turnAway(CloseReason reason, Span comeBack) {
+        Failure failure = new Failure(reason.sqlState, reason.message, Timers.told(comeBack));
         endWith(() -> add(null, 0).answer(Encoder.fatal(failure)));
     }
 
@@ -318,7 +318,7 @@
                                                 : served
                                                         ? ConnectionState.IDLE
                                                         : ConnectionState.UNUSED;
-        if (anew || now != standing()) {
+        if (anew || now != state()) {
             clients.stands(this, now);
         }
         socket.listen(!parting && !hasEnough() && !clients.waits(this));
--- a/router/src/main/java/ironwind/net/Clients.java
+++ b/router/src/main/java/ironwind/net/Clients.java
@@ -1,16 +1,16 @@
 package ironwind.net;
 
 import io.netty.channel.IoEventLoop;
-import ironwind.idle.Budget;
-import ironwind.idle.Budget.Use;
+import ironwind.idle.CloseReason;
+import ironwind.idle.ConnectionManager;
 import ironwind.idle.ConnectionState;
-import ironwind.idle.Debtors;
-import ironwind.idle.Keeper;
 import ironwind.idle.Limits;
-import ironwind.idle.Peer;
-import ironwind.idle.Reason;
-import ironwind.idle.SteadyTime;
-import ironwind.idle.Turns;
+import ironwind.idle.MemoryBudget;
+import ironwind.idle.MemoryBudget.Use;
+import ironwind.idle.MonotonicTime;
+import ironwind.idle.ReadScheduler;
+import ironwind.idle.TrackedConnection;
+import ironwind.idle.UnsentAnswers;
 import ironwind.model.Customer;
 import ironwind.model.Effect;
 import ironwind.model.Method;
@@ -74,11 +74,11 @@
     private final Counters counters;
     private final Log log;
     private final Limits limits;
-    private final Keeper keeper;
-    private final Budget budget;
-    private final Debtors debtors;
-    private final Turns turns;
-    private final SteadyTime steady = new SteadyTime(LONGEST_STEP);
+    private final ConnectionManager keeper;
+    private final MemoryBudget budget;
+    private final UnsentAnswers debtors;
+    private final ReadScheduler turns;
+    private final MonotonicTime steady = new MonotonicTime(LONGEST_STEP);
     private final Show show;
 
     /** Empty queries that wait until the router is ready. */
@@ -98,7 +98,7 @@
             LoopSocket.Buffers buffers,
             StartFacts facts,
             Limits limits,
-            Budget budget,
+            MemoryBudget budget,
             int most,
             LogicTask logic,
             Counters counters,
@@ -112,10 +112,10 @@
         this.logic = logic;
         this.counters = counters;
         this.log = log;
-        this.keeper = new Keeper(limits);
+        this.keeper = new ConnectionManager(limits);
         this.budget = budget;
-        this.debtors = new Debtors(limits, budget);
-        this.turns = new Turns(limits, budget);
+        this.debtors = new UnsentAnswers(limits, budget);
+        this.turns = new ReadScheduler(limits, budget);
         this.show = new Show(counters, keeper, budget, debtors, turns, steady, logic);
     }
 
@@ -131,7 +131,7 @@
                                 log.warn(
                                         "no_descriptor",
                                         "open",
-                                        keeper.inside(),
+                                        keeper.connectionCount(),
                                         "cause",
                                         none.getMessage()));
         timers.every(LOOK_EVERY, this::look);
@@ -160,18 +160,18 @@
 
     /** Microseconds of the steady time. */
     private long now() {
-        return steady.at(System.nanoTime() / 1_000);
+        return steady.advance(System.nanoTime() / 1_000);
     }
 
     // ---- the door
 
     @Override
     public Span shutFor() {
-        if (keeper.inside() >= most) {
+        if (keeper.connectionCount() >= most) {
             return null;
         }
         long now = now();
-        return keeper.opens(now) ? Span.ZERO : keeper.opensIn(now);
+        return keeper.mayAccept(now) ? Span.ZERO : keeper.nextAcceptIn(now);
     }
 
     @Override
@@ -194,9 +194,9 @@
             return;
         }
         makeRoom();
-        Reason refusal = keeper.refusal(address);
+        CloseReason refusal = keeper.refusalReason(address);
         ClientConnection client = new ClientConnection(channel, this, lag.at(Clock.read()));
-        keeper.enter(client, address, now());
+        keeper.add(client, address, now());
         client.begin();
         if (refusal != null) {
             log.warn(
@@ -206,7 +206,7 @@
                     "address",
                     address,
                     "open",
-                    keeper.inside());
+                    keeper.connectionCount());
             client.turnAway(refusal, facts.deployment().longestBackoff());
         } else if (dismissing) {
             client.dismiss();
@@ -224,19 +224,19 @@
 
     private void makeRoom() {
         int woken = 0;
-        Peer least = keeper.toGiveWay();
+        TrackedConnection least = keeper.evictionCandidateIfFull();
         while (least != null && woken < MOST_WOKEN) {
-            woken += giveWay(least, Reason.GAVE_WAY) ? 0 : 1;
-            least = keeper.toGiveWay();
+            woken += giveWay(least, CloseReason.GAVE_WAY) ? 0 : 1;
+            least = keeper.evictionCandidateIfFull();
         }
     }
 
     /** Ends one that carries nothing, unless its client has just spoken. */
-    private boolean giveWay(Peer peer, Reason reason) {
-        boolean parted = peer.standing() == ConnectionState.CLOSING;
+    private boolean giveWay(TrackedConnection peer, CloseReason reason) {
+        boolean parted = peer.state() == ConnectionState.CLOSING;
         boolean ended = ((ClientConnection) peer).giveWay();
         if (ended && !parted) {
-            keeper.count(reason);
+            keeper.recordClose(reason);
         }
         return ended;
     }
@@ -254,26 +254,26 @@
         endDebtors(now());
         logic.memoryFreed();
         door.look();
-        if (turns.anyWaits()) {
+        if (turns.hasQueued()) {
             callTurn();
         }
     }
 
     private void endDue() {
         long now = now();
-        Peer due = keeper.due(now);
+        TrackedConnection due = keeper.nextExpired(now);
         for (int i = 0; i < ENDED_AT_ONCE && due != null; i++) {
             ClientConnection client = (ClientConnection) due;
-            Reason why = keeper.whyDue(due);
-            if (due.standing() == ConnectionState.CLOSING) {
+            CloseReason why = keeper.expiryReason(due);
+            if (due.state() == ConnectionState.CLOSING) {
                 client.cut();
-            } else if (why == Reason.TOO_SLOW) {
-                keeper.count(why);
-                client.fail(new PgFault(why.code, why.words));
+            } else if (why == CloseReason.TOO_SLOW) {
+                keeper.recordClose(why);
+                client.fail(new PgFault(why.sqlState, why.message));
             } else {
                 giveWay(due, why);
             }
-            due = keeper.due(now);
+            due = keeper.nextExpired(now);
         }
         if (due != null) {
             soon(this::endDue);
@@ -281,17 +281,19 @@
     }
 
     private void endDebtors(long now) {
-        for (Peer due = debtors.due(now); due != null; due = debtors.due(now)) {
-            Reason why = debtors.whyDue();
-            keeper.count(why);
+        for (TrackedConnection due = debtors.nextToClose(now);
+                due != null;
+                due = debtors.nextToClose(now)) {
+            CloseReason why = debtors.closeReason();
+            keeper.recordClose(why);
             log.warn(
                     "client_owed",
                     "reason",
                     why,
                     "bytes",
-                    due.owed(),
+                    due.unsentBytes(),
                     "all",
-                    budget.lent(Use.UNSENT_ANSWERS));
+                    budget.reserved(Use.UNSENT_ANSWERS));
             ((ClientConnection) due).cut();
         }
     }
@@ -299,7 +301,7 @@
     // ---- turns to be read
 
     boolean mayRead(ClientConnection client) {
-        boolean now = turns.atOnce(client, now(), logic.open());
+        boolean now = turns.readNowOrEnqueue(client, now(), logic.open());
         if (!now) {
             callTurn();
         }
@@ -307,7 +309,7 @@
     }
 
     boolean waits(ClientConnection client) {
-        return turns.waits(client);
+        return turns.isQueued(client);
     }
 
     private void callTurn() {
@@ -320,68 +322,68 @@
     /** The crowd's turn, after which all that is active is looked at before the next. */
     private void turn() {
         turnDue = false;
-        turns.begin(now());
-        Peer next = turns.next(now(), logic.open());
+        turns.beginTurn(now());
+        TrackedConnection next = turns.poll(now(), logic.open());
         while (next != null) {
             ((ClientConnection) next).turn();
-            next = turns.next(now(), logic.open());
+            next = turns.poll(now(), logic.open());
         }
-        if (turns.anyWaits() && turns.hasTurn(now(), logic.open())) {
+        if (turns.hasQueued() && turns.hasEligible(now(), logic.open())) {
             callTurn();
         }
     }
 
     void heard(ClientConnection client) {
-        turns.heard(client);
+        turns.markRead(client);
     }
 
     // ---- memory
 
     boolean lend(int bytes, boolean always) {
         if (always || bytes <= 0) {
-            budget.force(Use.PARTIAL_REQUESTS, bytes);
+            budget.forceReserve(Use.PARTIAL_REQUESTS, bytes);
             return true;
         }
-        boolean lent = budget.lend(Use.PARTIAL_REQUESTS, bytes);
+        boolean lent = budget.tryReserve(Use.PARTIAL_REQUESTS, bytes);
         if (!lent) {
-            keeper.count(Reason.NO_MEMORY);
+            keeper.recordClose(CloseReason.NO_MEMORY);
         }
         return lent;
     }
 
     void owes(ClientConnection client, int bytes) {
         long now = now();
-        debtors.owe(client, bytes, now);
-        if (budget.lent(Use.UNSENT_ANSWERS) > limits.owedAll()) {
+        debtors.add(client, bytes, now);
+        if (budget.reserved(Use.UNSENT_ANSWERS) > limits.owedAll()) {
             soon(() -> endDebtors(now()));
         }
     }
 
     void took(ClientConnection client, int bytes) {
-        debtors.took(client, bytes, now());
+        debtors.drained(client, bytes, now());
     }
 
     boolean isOwedMuch(ClientConnection client) {
-        return debtors.ahead(client);
+        return debtors.isOverClientLimit(client);
     }
 
     // ---- how they stand
 
     void stands(ClientConnection client, ConnectionState standing) {
-        keeper.stands(client, standing, now());
+        keeper.setState(client, standing, now());
     }
 
     /** An answer has gone out. */
     void answered(ClientConnection client, Exchange exchange) {
-        if (turns.anyWaits()) {
+        if (turns.hasQueued()) {
             callTurn();
         }
-        budget.back(Use.OPEN_RPCS, exchange.lent);
+        budget.release(Use.OPEN_RPCS, exchange.lent);
         exchange.lent = 0;
         if (exchange.rpc != null) {
-            Peer over = keeper.served(client, exchange.rpc.customer, now());
+            TrackedConnection over = keeper.recordAnswer(client, exchange.rpc.customer, now());
             if (over != null && over != client) {
-                soon(() -> giveWay(over, Reason.CUSTOMER_FULL));
+                soon(() -> giveWay(over, CloseReason.CUSTOMER_FULL));
             }
         }
     }
@@ -397,15 +399,15 @@
 
     void ended(ClientConnection client, Ending ending, Exchange unanswered) {
         counters.add(ending);
-        debtors.forget(client);
-        keeper.leave(client);
+        debtors.remove(client);
+        keeper.remove(client);
         for (Exchange exchange = unanswered; exchange != null; exchange = exchange.next) {
-            budget.back(Use.OPEN_RPCS, exchange.lent);
+            budget.release(Use.OPEN_RPCS, exchange.lent);
             exchange.lent = 0;
             logic.left(exchange);
         }
         door.look();
-        if (dismissing && keeper.inside() == 0) {
+        if (dismissing && keeper.connectionCount() == 0) {
             whenGone.run();
         }
     }
@@ -461,7 +463,7 @@
                         ? statement.needWhole("after", 0, LONGEST_MS)
                         : 0;
         int bytes = OPEN_RPC_BYTES + 2 * statement.text().length();
-        Span waited = turns.waited(client, now());
+        Span waited = turns.queueTime(client, now());
         Span lay = waited.longer(client.lay(lag.at(Clock.read())));
         LogicTask.Asked asked =
                 new LogicTask.Asked(
@@ -474,9 +476,9 @@
                         after,
                         "1".equals(statement.facts().get("r")),
                         lay,
-                        turns.pushesBack(waited, bytes));
+                        turns.shouldPushBack(waited, bytes));
         logic.check(asked);
-        budget.force(Use.OPEN_RPCS, bytes);
+        budget.forceReserve(Use.OPEN_RPCS, bytes);
         logic.arrived(client.add(statement, bytes), asked);
     }
 
@@ -494,7 +496,7 @@
         dismissing = true;
         whenGone = gone;
         dismissSome();
-        if (keeper.inside() == 0) {
+        if (keeper.connectionCount() == 0) {
             whenGone.run();
         }
     }
@@ -504,14 +506,14 @@
      * last answer.
      */
     private void dismissSome() {
-        Peer next = keeper.leastKnown();
-        for (int i = 0; i < ENDED_AT_ONCE && next != null && keeper.inside() > 0; i++) {
-            if (next.standing() == ConnectionState.CLOSING) {
+        TrackedConnection next = keeper.evictionCandidate();
+        for (int i = 0; i < ENDED_AT_ONCE && next != null && keeper.connectionCount() > 0; i++) {
+            if (next.state() == ConnectionState.CLOSING) {
                 ((ClientConnection) next).cut();
             } else {
                 ((ClientConnection) next).dismiss();
             }
-            next = keeper.leastKnown();
+            next = keeper.evictionCandidate();
         }
         if (next != null) {
             soon(this::dismissSome);
--- a/router/src/main/java/ironwind/net/HostConnections.java
+++ b/router/src/main/java/ironwind/net/HostConnections.java
@@ -1,8 +1,8 @@
 package ironwind.net;
 
 import io.netty.channel.IoEventLoop;
-import ironwind.idle.Budget;
-import ironwind.idle.Budget.Use;
+import ironwind.idle.MemoryBudget;
+import ironwind.idle.MemoryBudget.Use;
 import ironwind.model.Moment;
 import ironwind.model.Span;
 import ironwind.net.Counters.Count;
@@ -66,14 +66,14 @@
      */
     private final Deque<HostConnection> needMemory = new ArrayDeque<>();
 
-    private final Budget budget;
+    private final MemoryBudget budget;
 
     HostConnections(
             IoEventLoop loop,
             Timers timers,
             LoopSocket.Buffers buffers,
             StartFacts facts,
-            Budget budget,
+            MemoryBudget budget,
             int most,
             Counters counters,
             Log log) {
@@ -213,7 +213,7 @@
      * is.
      */
     boolean lend(HostConnection connection, int bytes) {
-        boolean lent = needMemory.isEmpty() && budget.lend(Use.PARTIAL_ANSWERS, bytes);
+        boolean lent = needMemory.isEmpty() && budget.tryReserve(Use.PARTIAL_ANSWERS, bytes);
         if (!lent) {
             needMemory.add(connection);
             log.warn(
@@ -223,13 +223,13 @@
                     "bytes",
                     bytes,
                     "lent",
-                    budget.sum());
+                    budget.totalReserved());
         }
         return lent;
     }
 
     void giveBack(HostConnection connection, int bytes) {
-        budget.back(Use.PARTIAL_ANSWERS, bytes);
+        budget.release(Use.PARTIAL_ANSWERS, bytes);
         needMemory.remove(connection);
         memoryFreed();
     }
@@ -237,7 +237,7 @@
     /** Those that wait for memory go on, as far as there is some. */
     void memoryFreed() {
         while (!needMemory.isEmpty()
-                && budget.lend(Use.PARTIAL_ANSWERS, needMemory.peek().needs())) {
+                && budget.tryReserve(Use.PARTIAL_ANSWERS, needMemory.peek().needs())) {
             needMemory.poll().readOn();
         }
     }
--- a/router/src/main/java/ironwind/net/Rehearsal.java
+++ b/router/src/main/java/ironwind/net/Rehearsal.java
@@ -1,7 +1,7 @@
 package ironwind.net;
 
 import io.netty.channel.IoEventLoop;
-import ironwind.idle.Budget;
+import ironwind.idle.MemoryBudget;
 import ironwind.model.Customer;
 import ironwind.model.Host.Listing;
 import ironwind.model.Inbound;
@@ -82,7 +82,7 @@
                         timers,
                         buffers,
                         this.facts,
-                        new Budget(REHEARSAL_BYTES),
+                        new MemoryBudget(REHEARSAL_BYTES),
                         Math.min(MOST_SOCKETS, most),
                         counters,
                         log);
--- a/router/src/main/java/ironwind/net/Router.java
+++ b/router/src/main/java/ironwind/net/Router.java
@@ -9,8 +9,8 @@
 import io.vertx.core.file.FileSystemOptions;
 import io.vertx.core.internal.ContextInternal;
 import ironwind.Logic;
-import ironwind.idle.Budget;
 import ironwind.idle.Limits;
+import ironwind.idle.MemoryBudget;
 import ironwind.model.Inbound;
 import ironwind.model.Outbound;
 import ironwind.model.Span;
@@ -109,7 +109,7 @@
         vertx.exceptionHandler(this::uncaught);
         context.runOnContext(
                 nothing -> {
-                    Budget budget = new Budget(limits.memory());
+                    MemoryBudget budget = new MemoryBudget(limits.memory());
                     Timers timers = new Timers(loop(), this::uncaught);
                     LoopSocket.Buffers buffers = new LoopSocket.Buffers();
                     IoEventLoop loop = loop();
--- a/router/src/main/java/ironwind/net/Show.java
+++ b/router/src/main/java/ironwind/net/Show.java
@@ -1,14 +1,14 @@
 package ironwind.net;
 
 import io.netty.util.internal.PlatformDependent;
-import ironwind.idle.Budget;
-import ironwind.idle.Budget.Use;
+import ironwind.idle.CloseReason;
+import ironwind.idle.ConnectionManager;
 import ironwind.idle.ConnectionState;
-import ironwind.idle.Debtors;
-import ironwind.idle.Keeper;
-import ironwind.idle.Reason;
-import ironwind.idle.SteadyTime;
-import ironwind.idle.Turns;
+import ironwind.idle.MemoryBudget;
+import ironwind.idle.MemoryBudget.Use;
+import ironwind.idle.MonotonicTime;
+import ironwind.idle.ReadScheduler;
+import ironwind.idle.UnsentAnswers;
 import ironwind.pg.Encoder;
 import ironwind.pg.Row;
 import java.util.ArrayList;
@@ -20,20 +20,20 @@
     private static final List<String> NAME_AND_VALUE = List.of("name", "value");
 
     private final Counters counters;
-    private final Keeper keeper;
-    private final Budget budget;
-    private final Debtors debtors;
-    private final Turns turns;
-    private final SteadyTime steady;
+    private final ConnectionManager keeper;
+    private final MemoryBudget budget;
+    private final UnsentAnswers debtors;
+    private final ReadScheduler turns;
+    private final MonotonicTime steady;
     private final LogicTask logic;
 
     Show(
             Counters counters,
-            Keeper keeper,
-            Budget budget,
-            Debtors debtors,
-            Turns turns,
-            SteadyTime steady,
+            ConnectionManager keeper,
+            MemoryBudget budget,
+            UnsentAnswers debtors,
+            ReadScheduler turns,
+            MonotonicTime steady,
             LogicTask logic) {
         this.counters = counters;
         this.keeper = keeper;
@@ -66,31 +66,34 @@
 
     private List<List<String>> clients() {
         List<List<String>> rows = new ArrayList<>();
-        long now = steady.at(System.nanoTime() / 1_000);
+        long now = steady.advance(System.nanoTime() / 1_000);
         for (ConnectionState standing : ConnectionState.values()) {
             rows.add(
                     List.of(
                             standing.label(),
-                            Integer.toString(keeper.standing(standing)),
-                            Long.toString(keeper.longest(standing, now).us() / 1_000)));
+                            Integer.toString(keeper.countInState(standing)),
+                            Long.toString(keeper.longestInState(standing, now).us() / 1_000)));
         }
         return rows;
     }
 
     private List<List<String>> idle() {
         List<List<String>> rows = new ArrayList<>();
-        add(rows, "inside", keeper.inside());
+        add(rows, "inside", keeper.connectionCount());
         add(rows, "most", keeper.limits().connections());
-        add(rows, "addresses", keeper.addresses());
+        add(rows, "addresses", keeper.addressCount());
         add(rows, "open_rpcs", logic.open());
-        add(rows, "owed_clients", debtors.size());
-        add(rows, "waiting_for_turn", turns.waiting());
-        add(rows, "most_waiting_for_turn", turns.mostWaiting());
-        add(rows, "turns_deferred", turns.deferred());
-        add(rows, "turns_too_late", turns.shed());
-        add(rows, "paused_ms", steady.leftOut().us() / 1_000);
-        for (Reason reason : Reason.values()) {
-            add(rows, "ended_" + reason.name().toLowerCase(Locale.ROOT), keeper.ended(reason));
+        add(rows, "owed_clients", debtors.clientCount());
+        add(rows, "waiting_for_turn", turns.queueSize());
+        add(rows, "most_waiting_for_turn", turns.peakQueueSize());
+        add(rows, "turns_deferred", turns.deferredReads());
+        add(rows, "turns_too_late", turns.lateReads());
+        add(rows, "paused_ms", steady.skipped().us() / 1_000);
+        for (CloseReason reason : CloseReason.values()) {
+            add(
+                    rows,
+                    "ended_" + reason.name().toLowerCase(Locale.ROOT),
+                    keeper.closedCount(reason));
         }
         return rows;
     }
@@ -101,15 +104,15 @@
             rows.add(
                     List.of(
                             use.label(),
-                            Long.toString(budget.lent(use)),
-                            Long.toString(budget.refused(use))));
+                            Long.toString(budget.reserved(use)),
+                            Long.toString(budget.refusedCount(use))));
         }
         Runtime runtime = Runtime.getRuntime();
         for (Object[] row :
                 new Object[][] {
-                    {"all", budget.sum()},
-                    {"highest", budget.highest()},
-                    {"limit", budget.all()},
+                    {"all", budget.totalReserved()},
+                    {"highest", budget.peakReserved()},
+                    {"limit", budget.limit()},
                     {"heap", runtime.totalMemory() - runtime.freeMemory()},
                     {"heap_limit", runtime.maxMemory()},
                     {"direct", Math.max(0, PlatformDependent.usedDirectMemory())}
--- a/router/src/test/java/ironwind/idle/KeeperTest.java
+++ b/router/src/test/java/ironwind/idle/ConnectionManagerTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.Test;
 
 /** The keeper beside a naive model that keeps a plain list and searches all of it. */
-class KeeperTest {
+class ConnectionManagerTest {
     private static final int MOST = 6;
     private static final int OF_ADDRESS = 3;
     private static final int OF_CUSTOMER = 2;
@@ -48,11 +48,11 @@
                 0);
     }
 
-    static final class Bare extends Peer {}
+    static final class Bare extends TrackedConnection {}
 
     /** What a model knows of one connection. */
     private static final class Known {
-        private final Peer peer = new Bare();
+        private final TrackedConnection peer = new Bare();
         private final String address;
         private ConnectionState standing = ConnectionState.STARTUP;
         private long since;
@@ -87,45 +87,45 @@
 
     @Property(tries = 400, seed = "20261201")
     void agreesWithASearchOfAll(@ForAll("steps") List<Step> steps) {
-        Keeper keeper = new Keeper(LIMITS);
+        ConnectionManager keeper = new ConnectionManager(LIMITS);
         inside.clear();
         long now = 1_000;
         for (Step step : steps) {
             now += step.passes;
             act(keeper, step, now);
             for (ConnectionState standing : ConnectionState.values()) {
-                assertThat(keeper.standing(standing))
+                assertThat(keeper.countInState(standing))
                         .isEqualTo(
                                 inside.stream()
                                         .filter(known -> known.standing == standing)
                                         .count());
             }
-            assertThat(keeper.inside()).isEqualTo(inside.size());
-            assertThat(keeper.addresses())
+            assertThat(keeper.connectionCount()).isEqualTo(inside.size());
+            assertThat(keeper.addressCount())
                     .isEqualTo(inside.stream().map(known -> known.address).distinct().count());
             Known least = leastKnown();
-            assertThat(keeper.toGiveWay())
+            assertThat(keeper.evictionCandidateIfFull())
                     .isSameAs(inside.size() < MOST || least == null ? null : least.peer);
             checkDue(keeper, now);
         }
     }
 
-    private void act(Keeper keeper, Step step, long now) {
+    private void act(ConnectionManager keeper, Step step, long now) {
         if (step.kind <= 1) {
             String address = "a" + step.which % 4;
             long same = inside.stream().filter(known -> known.address.equals(address)).count();
-            Reason expected =
+            CloseReason expected =
                     same >= OF_ADDRESS
-                            ? Reason.ADDRESS_FULL
+                            ? CloseReason.ADDRESS_FULL
                             : inside.size() >= MOST && leastKnown() == null
-                                    ? Reason.ALL_BUSY
+                                    ? CloseReason.ALL_BUSY
                                     : null;
-            assertThat(keeper.refusal(address)).isEqualTo(expected);
+            assertThat(keeper.refusalReason(address)).isEqualTo(expected);
             if (expected == null) {
                 Known known = new Known(address);
                 stand(known, ConnectionState.STARTUP, now);
                 inside.add(known);
-                keeper.enter(known.peer, address, now);
+                keeper.add(known.peer, address, now);
             }
             return;
         } else if (inside.isEmpty()) {
@@ -134,19 +134,19 @@
         Known known = inside.get(step.which % inside.size());
         switch (step.kind) {
             case 2 -> {
-                keeper.leave(known.peer);
-                keeper.leave(known.peer);
+                keeper.remove(known.peer);
+                keeper.remove(known.peer);
                 inside.remove(known);
-                assertThat(known.peer.standing()).isNull();
+                assertThat(known.peer.state()).isNull();
             }
             case 3 -> {
                 known.customer = step.standing == 0 ? null : "c" + step.standing % 2;
-                Peer over = keeper.served(known.peer, known.customer, now);
+                TrackedConnection over = keeper.recordAnswer(known.peer, known.customer, now);
                 assertThat(over).isSameAs(overCustomer(known.customer));
             }
             default -> {
                 stand(known, ConnectionState.values()[step.standing], now);
-                keeper.stands(known.peer, known.standing, now);
+                keeper.setState(known.peer, known.standing, now);
             }
         }
     }
@@ -157,7 +157,7 @@
         known.order = order++;
     }
 
-    private Peer overCustomer(String customer) {
+    private TrackedConnection overCustomer(String customer) {
         List<Known> all =
                 inside.stream()
                         .filter(known -> customer != null && customer.equals(known.customer))
@@ -188,8 +188,8 @@
                 .orElse(null);
     }
 
-    private void checkDue(Keeper keeper, long now) {
-        List<Peer> due =
+    private void checkDue(ConnectionManager keeper, long now) {
+        List<TrackedConnection> due =
                 inside.stream()
                         .filter(
                                 known -> {
@@ -207,7 +207,7 @@
                                 })
                         .map(known -> known.peer)
                         .toList();
-        Peer told = keeper.due(now);
+        TrackedConnection told = keeper.nextExpired(now);
         if (due.isEmpty()) {
             assertThat(told).isNull();
         } else {
@@ -218,20 +218,20 @@
     /** Guards against a door that lets in more than its rate, or none again after a pause. */
     @Test
     void theDoorKeepsItsRate() {
-        Keeper keeper = new Keeper(limits(10_000, 0, 0, 100, 10));
+        ConnectionManager keeper = new ConnectionManager(limits(10_000, 0, 0, 100, 10));
         int let = 0;
         for (long now = 0; now < 2_000_000; now += 500) {
-            while (keeper.opens(now)) {
-                keeper.enter(new Bare(), "a", now);
+            while (keeper.mayAccept(now)) {
+                keeper.add(new Bare(), "a", now);
                 let++;
             }
-            assertThat(keeper.opensIn(now).us()).isBetween(1_000L, 10_000L);
+            assertThat(keeper.nextAcceptIn(now).us()).isBetween(1_000L, 10_000L);
         }
         assertThat(let).isBetween(205, 210);
-        keeper.opens(3_600_000_000L);
+        keeper.mayAccept(3_600_000_000L);
         int after = 0;
-        while (keeper.opens(3_600_000_000L)) {
-            keeper.enter(new Bare(), "a", 3_600_000_000L);
+        while (keeper.mayAccept(3_600_000_000L)) {
+            keeper.add(new Bare(), "a", 3_600_000_000L);
             after++;
         }
         assertThat(after).isEqualTo(10);
@@ -240,21 +240,21 @@
     /** Guards against a newcomer that is chosen to make room for itself. */
     @Test
     void whoComesIsNotWhoGivesWay() {
-        Keeper keeper = new Keeper(limits(2, 0, 0, 0, 0));
-        Peer first = new Bare();
-        Peer second = new Bare();
-        for (Peer peer : List.of(first, second)) {
-            keeper.enter(peer, "a", 1);
-            keeper.served(peer, null, 1);
-            keeper.stands(peer, ConnectionState.IDLE, 1);
+        ConnectionManager keeper = new ConnectionManager(limits(2, 0, 0, 0, 0));
+        TrackedConnection first = new Bare();
+        TrackedConnection second = new Bare();
+        for (TrackedConnection peer : List.of(first, second)) {
+            keeper.add(peer, "a", 1);
+            keeper.recordAnswer(peer, null, 1);
+            keeper.setState(peer, ConnectionState.IDLE, 1);
         }
-        assertThat(keeper.toGiveWay()).isSameAs(first);
-        keeper.leave(first);
-        assertThat(keeper.toGiveWay()).isNull();
-        keeper.stands(second, ConnectionState.BUSY, 2);
-        keeper.enter(first, "a", 2);
-        keeper.stands(first, ConnectionState.RECEIVING, 2);
-        assertThat(keeper.toGiveWay()).isNull();
-        assertThat(keeper.refusal("b")).isEqualTo(Reason.ALL_BUSY);
+        assertThat(keeper.evictionCandidateIfFull()).isSameAs(first);
+        keeper.remove(first);
+        assertThat(keeper.evictionCandidateIfFull()).isNull();
+        keeper.setState(second, ConnectionState.BUSY, 2);
+        keeper.add(first, "a", 2);
+        keeper.setState(first, ConnectionState.RECEIVING, 2);
+        assertThat(keeper.evictionCandidateIfFull()).isNull();
+        assertThat(keeper.refusalReason("b")).isEqualTo(CloseReason.ALL_BUSY);
     }
 }
--- a/router/src/test/java/ironwind/net/ShowTest.java
+++ b/router/src/test/java/ironwind/net/ShowTest.java
@@ -2,13 +2,13 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import ironwind.idle.Budget;
-import ironwind.idle.Debtors;
-import ironwind.idle.Keeper;
+import ironwind.idle.CloseReason;
+import ironwind.idle.ConnectionManager;
 import ironwind.idle.Limits;
-import ironwind.idle.Reason;
-import ironwind.idle.SteadyTime;
-import ironwind.idle.Turns;
+import ironwind.idle.MemoryBudget;
+import ironwind.idle.MonotonicTime;
+import ironwind.idle.ReadScheduler;
+import ironwind.idle.UnsentAnswers;
 import ironwind.model.Span;
 import ironwind.pg.Encoder;
 import java.nio.charset.StandardCharsets;
@@ -22,17 +22,17 @@
     private static final Limits LIMITS =
             Limits.of(10, 64, Span.ofMillis(100), Span.ofMillis(1_000));
 
-    private final Budget budget = new Budget(LIMITS.memory());
+    private final MemoryBudget budget = new MemoryBudget(LIMITS.memory());
 
     /** Answers what needs no logic task, which is all but {@code SHOW idle}. */
     private final Show show =
             new Show(
                     new Counters(),
-                    new Keeper(LIMITS),
+                    new ConnectionManager(LIMITS),
                     budget,
-                    new Debtors(LIMITS, budget),
-                    new Turns(LIMITS, budget),
-                    new SteadyTime(Span.ofMillis(500)),
+                    new UnsentAnswers(LIMITS, budget),
+                    new ReadScheduler(LIMITS, budget),
+                    new MonotonicTime(Span.ofMillis(500)),
                     null);
 
     @Test
@@ -74,7 +74,7 @@
     /** {@code SHOW idle} prints the reasons in lower case behind {@code ended_}, the log as is. */
     @Test
     void theReasonsKeepTheirOuterNames() {
-        assertThat(Arrays.stream(Reason.values()).map(Reason::toString))
+        assertThat(Arrays.stream(CloseReason.values()).map(CloseReason::toString))
                 .containsExactly(
                         "GAVE_WAY",
                         "ALL_BUSY",
