--- a/cli/src/main/java/ironwind/cli/Check.java
+++ b/cli/src/main/java/ironwind/cli/Check.java
@@ -22,7 +22,7 @@
 final class Check implements Callable<Integer> {
     /** What a router has where nobody says otherwise: DEPLOY's limits. */
     private static final Limits USUAL =
-            Limits.of(535, 192, Span.ofMillis(1_000), Span.ofMillis(3_000));
+            Limits.defaults(535, 192, Span.ofMillis(1_000), Span.ofMillis(3_000));
 
     @Spec private CommandSpec spec;
 
--- a/lab/src/main/java/ironwind/lab/KeeperTrial.java
+++ b/lab/src/main/java/ironwind/lab/KeeperTrial.java
@@ -67,7 +67,7 @@
 
     private double[] measure(int size) throws InterruptedException {
         long before = used();
-        Limits limits = Limits.of(size, 512, Span.ofMillis(1_000), Span.ofMillis(1_000));
+        Limits limits = Limits.defaults(size, 512, Span.ofMillis(1_000), Span.ofMillis(1_000));
         ConnectionManager keeper = new ConnectionManager(limits);
         UnsentAnswers debtors = new UnsentAnswers(limits, new MemoryBudget(MEMORY));
         TrackedConnection[] peers = new TrackedConnection[size];
--- a/router/src/main/java/ironwind/idle/ConnectionManager.java
+++ b/router/src/main/java/ironwind/idle/ConnectionManager.java
@@ -37,7 +37,7 @@
 
     public ConnectionManager(Limits limits) {
         this.limits = limits;
-        this.newcomers = new Bucket(limits.newAtOnce());
+        this.newcomers = new Bucket(limits.acceptBurst());
         for (ConnectionState standing : ConnectionState.values()) {
             chains.put(standing, new StateQueue(standing));
         }
@@ -51,29 +51,31 @@
     /** Whether one more may be taken from the system's queue now. */
     public boolean mayAccept(long now) {
         fill(now);
-        return limits.newPerSecond() == 0 || !newcomers.empty();
+        return limits.acceptRate() == 0 || !newcomers.empty();
     }
 
     /** How long until then; at least a millisecond. */
     public Span nextAcceptIn(long now) {
         fill(now);
-        double seconds = newcomers.missing() / Math.max(1, limits.newPerSecond());
+        double seconds = newcomers.missing() / Math.max(1, limits.acceptRate());
         return new Span((long) (seconds * MILLION)).longer(Span.ofMillis(1));
     }
 
     private void fill(long now) {
-        double gained = (now - filledAt) / MILLION * limits.newPerSecond();
-        newcomers.fill(gained, Math.max(1, limits.newAtOnce()));
+        double gained = (now - filledAt) / MILLION * limits.acceptRate();
+        newcomers.fill(gained, Math.max(1, limits.acceptBurst()));
         filledAt = now;
     }
 
     /** Why one from this address is not let in; null where it may come in. Counts a refusal. */
     public CloseReason refusalReason(Object address) {
         ConnectionUsage share = addresses.get(address);
-        if (limits.perAddress() > 0 && share != null && share.connections >= limits.perAddress()) {
+        if (limits.maxPerAddress() > 0
+                && share != null
+                && share.connections >= limits.maxPerAddress()) {
             return recordClose(CloseReason.ADDRESS_FULL);
         }
-        if (inside >= limits.connections() && evictionCandidate() == null) {
+        if (inside >= limits.maxConnections() && evictionCandidate() == null) {
             return recordClose(CloseReason.ALL_BUSY);
         }
         return null;
@@ -91,7 +93,7 @@
 
     /** Who has to give way before one more comes in; null where nobody has to or can. */
     public TrackedConnection evictionCandidateIfFull() {
-        return inside >= limits.connections() ? evictionCandidate() : null;
+        return inside >= limits.maxConnections() ? evictionCandidate() : null;
     }
 
     /**
@@ -134,7 +136,7 @@
         }
         peer.servedAt = now;
         ConnectionUsage share =
-                customer == null || limits.perCustomer() == 0
+                customer == null || limits.maxPerCustomer() == 0
                         ? null
                         : customers.computeIfAbsent(customer, ConnectionUsage::new);
         if (peer.customer != share) {
@@ -144,7 +146,7 @@
                 share.connections++;
             }
         }
-        boolean over = share != null && share.connections > limits.perCustomer();
+        boolean over = share != null && share.connections > limits.maxPerCustomer();
         return over ? share.idle.first() : null;
     }
 
@@ -208,13 +210,13 @@
     private Span patience(ConnectionState standing) {
         return switch (standing) {
             case CLOSING -> FAREWELL;
-            case STARTUP -> limits.startupTime();
-            case RECEIVING -> limits.messageTime();
-            case UNUSED -> limits.greetedTime();
+            case STARTUP -> limits.startupTimeout();
+            case RECEIVING -> limits.messageTimeout();
+            case UNUSED -> limits.firstRequestTimeout();
             case IDLE ->
-                    inside > limits.crowdedPart() * limits.connections()
-                            ? limits.crowdedTime()
-                            : limits.servedTime();
+                    inside > limits.crowdedFraction() * limits.maxConnections()
+                            ? limits.crowdedIdleTimeout()
+                            : limits.idleTimeout();
             case BUSY -> Span.ZERO;
         };
     }
--- a/router/src/main/java/ironwind/idle/ReadScheduler.java
+++ b/router/src/main/java/ironwind/idle/ReadScheduler.java
@@ -25,7 +25,7 @@
 
     /** A turn begins: for its time the crowd may be read. */
     public void beginTurn(long now) {
-        turnEnds = now + limits.turnTime().us();
+        turnEnds = now + limits.turnDuration().us();
     }
 
     /**
@@ -40,7 +40,7 @@
         // came behind.
         boolean begun =
                 peer.state() == ConnectionState.BUSY || peer.state() == ConnectionState.RECEIVING;
-        if (now >= turnEnds + limits.turnTime().us()) {
+        if (now >= turnEnds + limits.turnDuration().us()) {
             beginTurn(now);
         }
         if (begun || isActive(peer, now) || !hasQueued() && now < turnEnds && hasRoom(openRpcs)) {
@@ -55,7 +55,7 @@
     }
 
     private boolean isActive(TrackedConnection peer, long now) {
-        return now - peer.servedAt < limits.activeTime().us();
+        return now - peer.servedAt < limits.activeWindow().us();
     }
 
     /**
@@ -94,11 +94,11 @@
     }
 
     private boolean hasRoom(int openRpcs) {
-        return openRpcs < limits.openRpcs();
+        return openRpcs < limits.openRpcThreshold();
     }
 
     private boolean late(long now) {
-        return now - line.first().waitsSince > limits.crowdTime().us();
+        return now - line.first().waitsSince > limits.maxQueueTime().us();
     }
 
     /** How long it had something to say before it is read now. */
@@ -110,7 +110,7 @@
      * Whether an RPC that was read after such a wait, and of so many bytes, is to be pushed back.
      */
     public boolean shouldPushBack(Span waited, long bytes) {
-        return waited.longerThan(limits.crowdTime()) || !budget.hasRoomForNew(bytes);
+        return waited.longerThan(limits.maxQueueTime()) || !budget.hasRoomForNew(bytes);
     }
 
     /** What has come of it is read: it waits for no turn. */
--- a/router/src/main/java/ironwind/idle/UnsentAnswers.java
+++ b/router/src/main/java/ironwind/idle/UnsentAnswers.java
@@ -50,7 +50,7 @@
 
     /** Whether nothing more is to be read from it. */
     public boolean isOverClientLimit(TrackedConnection peer) {
-        return peer.owed > limits.owedEach();
+        return peer.owed > limits.maxUnsentPerClient();
     }
 
     /**
@@ -59,7 +59,7 @@
      */
     public TrackedConnection nextToClose(long now) {
         TrackedConnection first = line.first();
-        return first != null && (tooMuch() || now - first.tookAt > limits.slowReaderTime().us())
+        return first != null && (tooMuch() || now - first.tookAt > limits.slowReaderTimeout().us())
                 ? first
                 : null;
     }
@@ -69,7 +69,7 @@
     }
 
     private boolean tooMuch() {
-        return budget.reserved(MemoryBudget.Use.UNSENT_ANSWERS) > limits.owedAll();
+        return budget.reserved(MemoryBudget.Use.UNSENT_ANSWERS) > limits.maxUnsentTotal();
     }
 
     public int clientCount() {
--- a/router/src/main/java/ironwind/net/Clients.java
+++ b/router/src/main/java/ironwind/net/Clients.java
@@ -153,7 +153,7 @@
     /** From now on empty queries are answered: the front may send clients. */
     void ready() {
         ready = true;
-        timers.after(limits.startupTime(), () -> rehearsal = null);
+        timers.after(limits.startupTimeout(), () -> rehearsal = null);
         askedWhetherReady.forEach(exchange -> exchange.answer(Encoder.emptyQuery()));
         askedWhetherReady.clear();
     }
@@ -181,8 +181,8 @@
         try {
             channel.configureBlocking(false);
             channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
-            if (limits.sendBuffer() > 0) {
-                channel.setOption(StandardSocketOptions.SO_SNDBUF, (int) limits.sendBuffer());
+            if (limits.sendBufferBytes() > 0) {
+                channel.setOption(StandardSocketOptions.SO_SNDBUF, (int) limits.sendBufferBytes());
             }
             if (limits.keepalive().us() > 0) {
                 keepAlive(channel);
@@ -354,7 +354,7 @@
     void owes(ClientConnection client, int bytes) {
         long now = now();
         debtors.add(client, bytes, now);
-        if (budget.reserved(Use.UNSENT_ANSWERS) > limits.owedAll()) {
+        if (budget.reserved(Use.UNSENT_ANSWERS) > limits.maxUnsentTotal()) {
             soon(() -> endDebtors(now()));
         }
     }
--- a/router/src/main/java/ironwind/net/Router.java
+++ b/router/src/main/java/ironwind/net/Router.java
@@ -82,10 +82,11 @@
         this.facts = facts;
         // More than there are descriptors for would never meet their limit, and nobody would give
         // way to a newcomer.
-        int most = facts.idleLimits().connections();
-        this.limits = installation.idle().atMost(most);
-        if (installation.idle().connections() > most) {
-            log.warn("connections_cut", "asked", installation.idle().connections(), "most", most);
+        int most = facts.idleLimits().maxConnections();
+        this.limits = installation.idle().cappedAt(most);
+        if (installation.idle().maxConnections() > most) {
+            log.warn(
+                    "connections_cut", "asked", installation.idle().maxConnections(), "most", most);
         }
         this.module = module;
         this.log = log;
@@ -109,7 +110,7 @@
         vertx.exceptionHandler(this::uncaught);
         context.runOnContext(
                 nothing -> {
-                    MemoryBudget budget = new MemoryBudget(limits.memory());
+                    MemoryBudget budget = new MemoryBudget(limits.memoryBytes());
                     Timers timers = new Timers(loop(), this::uncaught);
                     LoopSocket.Buffers buffers = new LoopSocket.Buffers();
                     IoEventLoop loop = loop();
--- a/router/src/main/java/ironwind/net/Show.java
+++ b/router/src/main/java/ironwind/net/Show.java
@@ -80,7 +80,7 @@
     private List<List<String>> idle() {
         List<List<String>> rows = new ArrayList<>();
         add(rows, "inside", keeper.connectionCount());
-        add(rows, "most", keeper.limits().connections());
+        add(rows, "most", keeper.limits().maxConnections());
         add(rows, "addresses", keeper.addressCount());
         add(rows, "open_rpcs", logic.open());
         add(rows, "owed_clients", debtors.clientCount());
--- a/router/src/main/java/ironwind/start/StartFacts.java
+++ b/router/src/main/java/ironwind/start/StartFacts.java
@@ -81,7 +81,7 @@
         int spare = Math.max(1, (int) (SPARE_PART * clients));
         List<Span> deadlines =
                 deployment.methods().stream().map(Method::deadline).sorted().toList();
-        return Limits.of(
+        return Limits.defaults(
                 clients - spare,
                 memoryMb,
                 deadlines.isEmpty() ? Span.ZERO : deadlines.get(0),
--- a/router/src/test/java/ironwind/idle/ReadSchedulerTest.java
+++ b/router/src/test/java/ironwind/idle/ReadSchedulerTest.java
@@ -20,7 +20,7 @@
 /** ReadScheduler, debtors, the budget and the steady time. */
 class ReadSchedulerTest {
     private static final Limits LIMITS = ConnectionManagerTest.limits(100, 0, 0, 0, 0);
-    private final MemoryBudget budget = new MemoryBudget(LIMITS.memory());
+    private final MemoryBudget budget = new MemoryBudget(LIMITS.memoryBytes());
     private final ConnectionManager keeper = new ConnectionManager(LIMITS);
     private final ReadScheduler turns = new ReadScheduler(LIMITS, budget);
     private final UnsentAnswers debtors = new UnsentAnswers(LIMITS, budget);
--- a/router/src/test/java/ironwind/net/ShowTest.java
+++ b/router/src/test/java/ironwind/net/ShowTest.java
@@ -20,9 +20,9 @@
 /** The names that {@code SHOW} prints for enum constants, which operators' tools match. */
 class ShowTest {
     private static final Limits LIMITS =
-            Limits.of(10, 64, Span.ofMillis(100), Span.ofMillis(1_000));
+            Limits.defaults(10, 64, Span.ofMillis(100), Span.ofMillis(1_000));
 
-    private final MemoryBudget budget = new MemoryBudget(LIMITS.memory());
+    private final MemoryBudget budget = new MemoryBudget(LIMITS.memoryBytes());
 
     /** Answers what needs no logic task, which is all but {@code SHOW idle}. */
     private final Show show =
--- a/router/src/test/java/ironwind/start/InstallationTest.java
+++ b/router/src/test/java/ironwind/start/InstallationTest.java
@@ -18,7 +18,7 @@
 /** The installation's own file. */
 class InstallationTest {
     private static final Limits USUAL =
-            Limits.of(500, 192, Span.ofMillis(800), Span.ofMillis(1_500));
+            Limits.defaults(500, 192, Span.ofMillis(800), Span.ofMillis(1_500));
 
     @TempDir private Path folder;
 
@@ -55,20 +55,20 @@
                                 0,
                                 2_000,
                                 200,
-                                USUAL.startupTime(),
-                                USUAL.messageTime(),
-                                USUAL.greetedTime(),
+                                USUAL.startupTimeout(),
+                                USUAL.messageTimeout(),
+                                USUAL.firstRequestTimeout(),
                                 Span.ofMillis(12 * 3_600_000),
-                                USUAL.crowdedTime(),
+                                USUAL.crowdedIdleTimeout(),
                                 0.5,
-                                USUAL.memory(),
-                                USUAL.owedEach(),
-                                USUAL.owedAll(),
-                                USUAL.slowReaderTime(),
-                                USUAL.openRpcs(),
-                                USUAL.turnTime(),
-                                USUAL.crowdTime(),
-                                USUAL.activeTime(),
+                                USUAL.memoryBytes(),
+                                USUAL.maxUnsentPerClient(),
+                                USUAL.maxUnsentTotal(),
+                                USUAL.slowReaderTimeout(),
+                                USUAL.openRpcThreshold(),
+                                USUAL.turnDuration(),
+                                USUAL.maxQueueTime(),
+                                USUAL.activeWindow(),
                                 Span.ofMillis(60_000),
                                 64 << 10));
     }
@@ -96,7 +96,8 @@
     @ParameterizedTest
     @CsvSource({"32, 250, 250", "192, 800, 1500", "2048, 1, 60000"})
     void theDefaultsPassTheChecks(long memory, long shortest, long longest) throws IOException {
-        Limits limits = Limits.of(100, memory, Span.ofMillis(shortest), Span.ofMillis(longest));
+        Limits limits =
+                Limits.defaults(100, memory, Span.ofMillis(shortest), Span.ofMillis(longest));
         Path file = folder.resolve("empty.hcl");
         Files.writeString(file, "idle {\n}\n");
         assertThat(Installation.read(file, limits).idle()).isEqualTo(limits);
