--- a/cli/src/main/java/ironwind/cli/Check.java
+++ b/cli/src/main/java/ironwind/cli/Check.java
@@ -1,10 +1,10 @@
 package ironwind.cli;
 
+import ironwind.config.OperatorSettings;
+import ironwind.config.RouterConfig;
 import ironwind.hcl.HclFault;
 import ironwind.idle.Limits;
 import ironwind.model.Span;
-import ironwind.start.Installation;
-import ironwind.start.StartFacts;
 import java.nio.file.Path;
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
@@ -37,9 +37,9 @@
 
     @Override
     public Integer call() {
-        Limits limits = facts == null ? USUAL : StartFacts.read(facts).idleLimits();
+        Limits limits = facts == null ? USUAL : RouterConfig.read(facts).clientLimits();
         try {
-            Installation.read(file, limits);
+            OperatorSettings.read(file, limits);
         } catch (HclFault fault) {
             fault.lines().forEach(spec.commandLine().getErr()::println);
             return 1;
--- a/cli/src/main/java/ironwind/cli/LibrarySink.java
+++ b/cli/src/main/java/ironwind/cli/LibrarySink.java
@@ -8,8 +8,8 @@
 import ch.qos.logback.classic.spi.ILoggingEvent;
 import ch.qos.logback.core.ConsoleAppender;
 import ch.qos.logback.core.encoder.Encoder;
+import ironwind.config.OperatorSettings.LogFormat;
 import ironwind.net.Log;
-import ironwind.start.Installation.LogForm;
 import org.slf4j.LoggerFactory;
 import org.slf4j.spi.LoggingEventBuilder;
 
@@ -20,7 +20,7 @@
 
     private final org.slf4j.Logger logger;
 
-    LibrarySink(LogForm form) {
+    LibrarySink(LogFormat form) {
         LoggerContext context = (LoggerContext) LoggerFactory.getILoggerFactory();
         context.reset();
         ConsoleAppender<ILoggingEvent> appender = new ConsoleAppender<>();
@@ -34,8 +34,8 @@
         logger = context.getLogger("ironwind");
     }
 
-    private static Encoder<ILoggingEvent> encoder(LogForm form, LoggerContext context) {
-        if (form == LogForm.JSON) {
+    private static Encoder<ILoggingEvent> encoder(LogFormat form, LoggerContext context) {
+        if (form == LogFormat.JSON) {
             JsonEncoder json = new JsonEncoder();
             json.setContext(context);
             json.start();
--- a/cli/src/main/java/ironwind/cli/Serve.java
+++ b/cli/src/main/java/ironwind/cli/Serve.java
@@ -1,10 +1,10 @@
 package ironwind.cli;
 
 import ironwind.boot.Service;
+import ironwind.config.OperatorSettings;
+import ironwind.config.OperatorSettings.LogFormat;
+import ironwind.config.RouterConfig;
 import ironwind.net.Log;
-import ironwind.start.Installation;
-import ironwind.start.Installation.LogForm;
-import ironwind.start.StartFacts;
 import java.nio.file.Path;
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
@@ -36,13 +36,13 @@
             names = "--log",
             paramLabel = "FORM",
             description = "pairs or json; overrules the file.")
-    private LogForm form;
+    private LogFormat form;
 
     @Override
     public Integer call() throws Exception {
-        StartFacts start = StartFacts.read(facts);
-        Installation installation = Installation.of(start, config);
-        Log log = new Log(new LibrarySink(form == null ? installation.logForm() : form));
+        RouterConfig start = RouterConfig.read(facts);
+        OperatorSettings installation = OperatorSettings.readOrDefaults(start, config);
+        Log log = new Log(new LibrarySink(form == null ? installation.logFormat() : form));
         new Service(facts, start, installation, log).run();
         return 0;
     }
--- a/cli/src/test/java/ironwind/cli/LibrarySinkTest.java
+++ b/cli/src/test/java/ironwind/cli/LibrarySinkTest.java
@@ -3,8 +3,8 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import io.vertx.core.json.JsonObject;
+import ironwind.config.OperatorSettings.LogFormat;
 import ironwind.net.Log;
-import ironwind.start.Installation.LogForm;
 import java.io.ByteArrayOutputStream;
 import java.io.PrintStream;
 import java.nio.charset.StandardCharsets;
@@ -14,8 +14,8 @@
 /** Lines that a library writes: what they say must be found again by a program. */
 class LibrarySinkTest {
     @ParameterizedTest
-    @EnumSource(LogForm.class)
-    void namesAndValuesAreToldAsTheyAre(LogForm form) {
+    @EnumSource(LogFormat.class)
+    void namesAndValuesAreToldAsTheyAre(LogFormat form) {
         PrintStream before = System.err;
         ByteArrayOutputStream written = new ByteArrayOutputStream();
         try {
@@ -29,7 +29,7 @@
         }
         String[] lines = written.toString(StandardCharsets.UTF_8).split("\n");
         assertThat(lines).hasSize(2);
-        if (form == LogForm.JSON) {
+        if (form == LogFormat.JSON) {
             JsonObject first = new JsonObject(lines[0]);
             assertThat(first.getString("message")).isEqualTo("ready");
             assertThat(first.getString("level")).isEqualTo("INFO");
--- a/lab/src/test/java/ironwind/lab/IdleRouterTest.java
+++ b/lab/src/test/java/ironwind/lab/IdleRouterTest.java
@@ -4,6 +4,8 @@
 
 import io.vertx.core.Future;
 import io.vertx.core.json.JsonObject;
+import ironwind.config.OperatorSettings;
+import ironwind.config.RouterConfig;
 import ironwind.lab.LabClient.Answer;
 import ironwind.net.Log;
 import ironwind.net.Router;
@@ -11,8 +13,6 @@
 import ironwind.standin.Loop;
 import ironwind.standin.StandInDiscovery;
 import ironwind.standin.StandInHost;
-import ironwind.start.Installation;
-import ironwind.start.StartFacts;
 import java.io.IOException;
 import java.io.PrintStream;
 import java.net.InetSocketAddress;
@@ -78,8 +78,8 @@
 
     /** Begins a router whose block {@code idle} has these lines. */
     private void begin(String idle) throws Exception {
-        StartFacts facts =
-                StartFacts.read(
+        RouterConfig facts =
+                RouterConfig.read(
                         new JsonObject()
                                 .put("name", "n1")
                                 .put("listen", "127.0.0.1:0")
@@ -104,7 +104,7 @@
         router =
                 new Router(
                                 facts,
-                                Installation.read(file, facts.idleLimits()),
+                                OperatorSettings.read(file, facts.clientLimits()),
                                 new Log(new PrintStream(PrintStream.nullOutputStream())))
                         .unrehearsed();
         router.start().await(10, TimeUnit.SECONDS);
--- a/router/src/main/java/ironwind/adapter/Adapter.java
+++ b/router/src/main/java/ironwind/adapter/Adapter.java
@@ -1,10 +1,10 @@
 package ironwind.adapter;
 
+import ironwind.config.DeploymentReader;
 import ironwind.model.Deployment;
 import ironwind.model.Host;
 import ironwind.model.Moment;
 import ironwind.model.RosterEntry;
-import ironwind.start.DeploymentReader;
 import java.io.BufferedInputStream;
 import java.io.IOException;
 import java.io.InputStream;
--- a/router/src/main/java/ironwind/adapter/Line.java
+++ b/router/src/main/java/ironwind/adapter/Line.java
@@ -1,13 +1,13 @@
 package ironwind.adapter;
 
-import ironwind.start.NamedValues;
+import ironwind.config.PropertySource;
 import java.util.Base64;
 
 /**
  * One line of the wire: a name and tab-parted name=value fields, looked up without regular
  * expressions.
  */
-final class Line implements NamedValues {
+final class Line implements PropertySource {
     private final String text;
     private final long number;
     private final String name;
--- a/router/src/main/java/ironwind/boot/Main.java
+++ b/router/src/main/java/ironwind/boot/Main.java
@@ -1,12 +1,12 @@
 package ironwind.boot;
 
 import ironwind.adapter.Adapter;
+import ironwind.config.ConfigException;
+import ironwind.config.OperatorSettings;
+import ironwind.config.OperatorSettings.LogFormat;
+import ironwind.config.RouterConfig;
 import ironwind.hcl.HclFault;
 import ironwind.net.Log;
-import ironwind.start.Installation;
-import ironwind.start.Installation.LogForm;
-import ironwind.start.StartFacts;
-import ironwind.start.StartFault;
 import java.io.FileDescriptor;
 import java.io.FileOutputStream;
 import java.io.IOException;
@@ -52,12 +52,13 @@
     private static int serve(String file, String hcl, PrintStream errors) {
         try {
             if (file == null) {
-                throw new StartFault("ROUTER_CONFIG names no file");
+                throw new ConfigException("ROUTER_CONFIG names no file");
             }
-            StartFacts facts = StartFacts.read(Path.of(file));
-            Installation installation = Installation.of(facts, hcl == null ? null : Path.of(hcl));
-            if (installation.logForm() != LogForm.PAIRS) {
-                throw new StartFault(
+            RouterConfig facts = RouterConfig.read(Path.of(file));
+            OperatorSettings installation =
+                    OperatorSettings.readOrDefaults(facts, hcl == null ? null : Path.of(hcl));
+            if (installation.logFormat() != LogFormat.PAIRS) {
+                throw new ConfigException(
                         "log.form: this jar writes pairs only, the ironwind command writes json too");
             }
             new Service(Path.of(file), facts, installation, new Log(errors).withLibraries()).run();
@@ -65,7 +66,7 @@
         } catch (Exception e) {
             errors.println(
                     "ironwind: "
-                            + (e instanceof StartFault || e instanceof HclFault
+                            + (e instanceof ConfigException || e instanceof HclFault
                                     ? e.getMessage()
                                     : e));
             return START_ERROR;
--- a/router/src/main/java/ironwind/boot/Service.java
+++ b/router/src/main/java/ironwind/boot/Service.java
@@ -1,10 +1,10 @@
 package ironwind.boot;
 
+import ironwind.config.ConfigException;
+import ironwind.config.OperatorSettings;
+import ironwind.config.RouterConfig;
 import ironwind.net.Log;
 import ironwind.net.Router;
-import ironwind.start.Installation;
-import ironwind.start.StartFacts;
-import ironwind.start.StartFault;
 import java.nio.file.Path;
 import sun.misc.Signal;
 
@@ -15,7 +15,7 @@
     private final Router router;
 
     /** {@code file}: where the facts came from. */
-    public Service(Path file, StartFacts facts, Installation installation, Log log) {
+    public Service(Path file, RouterConfig facts, OperatorSettings installation, Log log) {
         this.file = file;
         this.log = log;
         this.router = new Router(facts, installation, log);
@@ -39,9 +39,9 @@
     /** A file that can't be read or is not whole leaves what holds in force. */
     private void reload() {
         try {
-            router.reload(StartFacts.read(file));
+            router.reload(RouterConfig.read(file));
         } catch (RuntimeException e) {
-            log.warn("reload_failed", "cause", e instanceof StartFault ? e.getMessage() : e);
+            log.warn("reload_failed", "cause", e instanceof ConfigException ? e.getMessage() : e);
         }
     }
 }
--- a/router/src/main/java/ironwind/start/Address.java
+++ b/router/src/main/java/ironwind/config/Address.java
@@ -1,4 +1,4 @@
-package ironwind.start;
+package ironwind.config;
 
 /** An IP address and a port. */
 public record Address(String ip, int port) {
@@ -14,7 +14,7 @@
         } catch (NumberFormatException e) {
             // told below, with the text
         }
-        throw new StartFault("'" + text + "' is no address and port");
+        throw new ConfigException("'" + text + "' is no address and port");
     }
 
     @Override
--- a/router/src/main/java/ironwind/start/StartFault.java
+++ b/router/src/main/java/ironwind/config/ConfigException.java
@@ -1,10 +1,10 @@
-package ironwind.start;
+package ironwind.config;
 
 /** What is wrong with the facts that a router was to be started with. */
-public final class StartFault extends RuntimeException {
+public final class ConfigException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
-    public StartFault(String what) {
+    public ConfigException(String what) {
         super(what);
     }
 }
--- a/router/src/main/java/ironwind/start/DeploymentReader.java
+++ b/router/src/main/java/ironwind/config/DeploymentReader.java
@@ -1,4 +1,4 @@
-package ironwind.start;
+package ironwind.config;
 
 import ironwind.model.Customer;
 import ironwind.model.Deployment;
@@ -41,7 +41,7 @@
 
     private DeploymentReader() {}
 
-    public static Deployment read(NamedValues from) {
+    public static Deployment read(PropertySource from) {
         List<String> levels = from.list("extra.read_level");
         List<String> bounds = from.list("extra.lag_allowed_us");
         List<Method> methods = new ArrayList<>();
@@ -101,7 +101,7 @@
                 new Span(from.whole("rules.fall_us", 0)));
     }
 
-    private static <T> T pick(NamedValues from, String key, Map<String, T> words, String word) {
+    private static <T> T pick(PropertySource from, String key, Map<String, T> words, String word) {
         T value = words.get(word);
         if (value == null) {
             throw from.fault(key, "has an unknown word: " + word);
--- a/router/src/main/java/ironwind/start/JsonValues.java
+++ b/router/src/main/java/ironwind/config/JsonPropertySource.java
@@ -1,4 +1,4 @@
-package ironwind.start;
+package ironwind.config;
 
 import io.vertx.core.json.JsonArray;
 import io.vertx.core.json.JsonObject;
@@ -10,12 +10,12 @@
  * Nested JSON as a flat view: paths joined by dots, a list of objects as its length under {@code
  * .count} and its items under their numbers, a list of plain values joined by commas.
  */
-public final class JsonValues implements NamedValues {
+public final class JsonPropertySource implements PropertySource {
     private final String root;
     private final Map<String, String> values = new HashMap<>();
 
     /** {@code root} names the object in faults. */
-    public JsonValues(String root, JsonObject object) {
+    public JsonPropertySource(String root, JsonObject object) {
         this.root = root;
         object.forEach(entry -> flatten(entry.getKey(), entry.getValue()));
     }
@@ -33,7 +33,9 @@
             } else {
                 values.put(
                         path,
-                        array.stream().map(JsonValues::plain).collect(Collectors.joining(",")));
+                        array.stream()
+                                .map(JsonPropertySource::plain)
+                                .collect(Collectors.joining(",")));
             }
         } else if (value != null) {
             values.put(path, plain(value));
@@ -55,7 +57,7 @@
     }
 
     @Override
-    public StartFault fault(String key, String what) {
-        return new StartFault(root + "." + key + " " + what);
+    public ConfigException fault(String key, String what) {
+        return new ConfigException(root + "." + key + " " + what);
     }
 }
--- a/router/src/main/java/ironwind/start/IdleBlock.java
+++ b/router/src/main/java/ironwind/config/LimitsReader.java
@@ -1,11 +1,11 @@
-package ironwind.start;
+package ironwind.config;
 
 import ironwind.hcl.Section;
 import ironwind.idle.Limits;
 import ironwind.model.Span;
 
 /** The block {@code idle} of {@code deploy/ironwind.hcl}: the limits on client connections. */
-final class IdleBlock {
+final class LimitsReader {
     private static final int MOST_CONNECTIONS = 1_000_000;
     private static final int MOST_A_SECOND = 1_000_000;
     private static final Span SHORTEST = Span.ofMillis(10);
@@ -13,7 +13,7 @@
     private static final long LEAST_BYTES = 256 << 10;
     private static final long MOST_BYTES = 1L << 40;
 
-    private IdleBlock() {}
+    private LimitsReader() {}
 
     static Limits read(Section idle, Limits otherwise) {
         int connections = idle.whole("connections", 1, MOST_CONNECTIONS, otherwise.connections());
--- a/router/src/main/java/ironwind/start/Names.java
+++ b/router/src/main/java/ironwind/config/NameIndex.java
@@ -1,4 +1,4 @@
-package ironwind.start;
+package ironwind.config;
 
 import ironwind.model.Customer;
 import ironwind.model.Deployment;
@@ -10,13 +10,13 @@
 /**
  * What the deployment's things are called on the wire. The decision module never sees these names.
  */
-public record Names(
+public record NameIndex(
         Map<String, Method> methods,
         Map<String, Customer> customers,
         List<String> zones,
         List<String> kinds) {
 
-    static Names read(NamedValues from, Deployment deployment) {
+    static NameIndex read(PropertySource from, Deployment deployment) {
         Map<String, Method> methods = new HashMap<>();
         for (Method method : deployment.methods()) {
             methods.put(from.need("lanes." + method.index() + ".name"), method);
@@ -25,6 +25,6 @@
         for (Customer customer : deployment.customers()) {
             customers.put(from.need("tenants." + customer.index() + ".name"), customer);
         }
-        return new Names(methods, customers, from.list("zones"), from.list("kinds"));
+        return new NameIndex(methods, customers, from.list("zones"), from.list("kinds"));
     }
 }
--- a/router/src/main/java/ironwind/start/Installation.java
+++ b/router/src/main/java/ironwind/config/OperatorSettings.java
@@ -1,4 +1,4 @@
-package ironwind.start;
+package ironwind.config;
 
 import ironwind.hcl.Block;
 import ironwind.hcl.Complaints;
@@ -11,9 +11,9 @@
  * What {@code deploy/ironwind.hcl} says, a block a subsystem; without the file everything is as the
  * start facts say.
  */
-public record Installation(Limits idle, LogForm logForm) {
+public record OperatorSettings(Limits clientLimits, LogFormat logFormat) {
     /** How log lines are written. */
-    public enum LogForm {
+    public enum LogFormat {
         /** Time, level, event, then key=value pairs. */
         PAIRS,
         /** One JSON object a line. */
@@ -21,32 +21,32 @@
     }
 
     /** Without a file. */
-    public static Installation of(StartFacts facts) {
-        return new Installation(facts.idleLimits(), LogForm.PAIRS);
+    public static OperatorSettings defaults(RouterConfig facts) {
+        return new OperatorSettings(facts.clientLimits(), LogFormat.PAIRS);
     }
 
     /** As the file says; null for none. */
-    public static Installation of(StartFacts facts, Path file) {
-        return file == null ? of(facts) : read(file, facts.idleLimits());
+    public static OperatorSettings readOrDefaults(RouterConfig facts, Path file) {
+        return file == null ? defaults(facts) : read(file, facts.clientLimits());
     }
 
     /**
      * Reads a file whole or not at all; an {@link ironwind.hcl.HclFault} tells all that is wrong
      * with it.
      */
-    public static Installation read(Path file, Limits otherwise) {
+    public static OperatorSettings read(Path file, Limits otherwise) {
         Complaints complaints = new Complaints(file.toString());
         Block block = HclReader.read(file, complaints);
         return read(block, otherwise, complaints);
     }
 
-    static Installation read(Block file, Limits otherwise, Complaints complaints) {
+    static OperatorSettings read(Block file, Limits otherwise, Complaints complaints) {
         Section all = new Section(file, complaints);
         Section log = all.only("log");
-        Installation read =
-                new Installation(
-                        IdleBlock.read(all.only("idle"), otherwise),
-                        log.choice("form", LogForm.class, LogForm.PAIRS));
+        OperatorSettings read =
+                new OperatorSettings(
+                        LimitsReader.read(all.only("idle"), otherwise),
+                        log.choice("form", LogFormat.class, LogFormat.PAIRS));
         log.done();
         all.done();
         complaints.throwIfAny();
--- a/router/src/main/java/ironwind/start/NamedValues.java
+++ b/router/src/main/java/ironwind/config/PropertySource.java
@@ -1,4 +1,4 @@
-package ironwind.start;
+package ironwind.config;
 
 import java.util.List;
 
@@ -6,7 +6,7 @@
  * A flat view of names and values, such as the fields of a line, or nested settings with their
  * paths as names.
  */
-public interface NamedValues {
+public interface PropertySource {
     /** The value of this name, or null where it is absent. */
     String text(String key);
 
--- a/router/src/main/java/ironwind/start/StartFacts.java
+++ b/router/src/main/java/ironwind/config/RouterConfig.java
@@ -1,4 +1,4 @@
-package ironwind.start;
+package ironwind.config;
 
 import io.vertx.core.json.DecodeException;
 import io.vertx.core.json.JsonObject;
@@ -12,18 +12,18 @@
 import java.util.List;
 
 /** The facts that a real router is started with. */
-public record StartFacts(
+public record RouterConfig(
         String name,
         Address listen,
         Address discovery,
         long seed,
-        int mostSockets,
+        int maxSockets,
         int memoryMb,
-        JsonObject knownHosts,
+        JsonObject initialHostList,
         Deployment deployment,
-        Names names,
-        Span connectTime,
-        Span hostIdleTime,
+        NameIndex names,
+        Span connectTimeout,
+        Span hostIdleTimeout,
         Span answerSlack) {
     /** DEPLOY and LATER: no router gets less. */
     private static final int LEAST_MEMORY_MB = 32;
@@ -42,22 +42,24 @@
      */
     private static final double SPARE_PART = 0.1;
 
-    /** Reads them from a JSON file; a {@link StartFault} tells what is missing or malformed. */
-    public static StartFacts read(Path file) {
+    /**
+     * Reads them from a JSON file; a {@link ConfigException} tells what is missing or malformed.
+     */
+    public static RouterConfig read(Path file) {
         try {
             return read(new JsonObject(Files.readString(file)));
         } catch (IOException e) {
-            throw new StartFault(file + " cannot be read: " + e);
+            throw new ConfigException(file + " cannot be read: " + e);
         } catch (DecodeException e) {
-            throw new StartFault(file + " is no JSON: " + e.getMessage());
+            throw new ConfigException(file + " is no JSON: " + e.getMessage());
         }
     }
 
-    public static StartFacts read(JsonObject json) {
-        NamedValues top = new JsonValues("configuration", json);
-        NamedValues settings = new JsonValues("settings", child(json, "settings"));
+    public static RouterConfig read(JsonObject json) {
+        PropertySource top = new JsonPropertySource("configuration", json);
+        PropertySource settings = new JsonPropertySource("settings", child(json, "settings"));
         Deployment deployment = DeploymentReader.read(settings);
-        return new StartFacts(
+        return new RouterConfig(
                 top.need("name"),
                 Address.parse(top.need("listen")),
                 Address.parse(top.need("discovery")),
@@ -66,7 +68,7 @@
                 top.small("limits.memory_mb", LEAST_MEMORY_MB),
                 child(json, "known"),
                 deployment,
-                Names.read(settings, deployment),
+                NameIndex.read(settings, deployment),
                 new Span(settings.needWhole("caps.connect_timeout_us")),
                 new Span(settings.needWhole("caps.idle_close_us")),
                 new Span(settings.needWhole("rules.answer_slack_us")));
@@ -76,8 +78,8 @@
      * Limits on client connections, where nothing else is said: a part of the descriptors is
      * theirs.
      */
-    public Limits idleLimits() {
-        int clients = mostOfClients();
+    public Limits clientLimits() {
+        int clients = maxClientConnections();
         int spare = Math.max(1, (int) (SPARE_PART * clients));
         List<Span> deadlines =
                 deployment.methods().stream().map(Method::deadline).sorted().toList();
@@ -89,33 +91,33 @@
     }
 
     /** Descriptors for connections to hosts. */
-    public int mostToHosts() {
+    public int maxHostConnections() {
         return (int) (HOSTS_PART * forConnections());
     }
 
     /** Descriptors for clients, those included that are on their way in or out. */
-    public int mostOfClients() {
-        return forConnections() - mostToHosts();
+    public int maxClientConnections() {
+        return forConnections() - maxHostConnections();
     }
 
     private int forConnections() {
-        return Math.max(2, mostSockets - OTHER_DESCRIPTORS);
+        return Math.max(2, maxSockets - OTHER_DESCRIPTORS);
     }
 
     /** The same facts, but for how long connections to hosts may take to come up. */
-    public StartFacts withConnectTime(Span time) {
-        return new StartFacts(
+    public RouterConfig withConnectTimeout(Span time) {
+        return new RouterConfig(
                 name,
                 listen,
                 discovery,
                 seed,
-                mostSockets,
+                maxSockets,
                 memoryMb,
-                knownHosts,
+                initialHostList,
                 deployment,
                 names,
                 time,
-                hostIdleTime,
+                hostIdleTimeout,
                 answerSlack);
     }
 
@@ -123,10 +125,10 @@
         if (json.getValue(key) instanceof JsonObject object) {
             return object;
         }
-        throw new StartFault("configuration." + key + " is missing");
+        throw new ConfigException("configuration." + key + " is missing");
     }
 
-    private static long seed(NamedValues top) {
+    private static long seed(PropertySource top) {
         try {
             return Long.parseUnsignedLong(top.need("seed"), 16);
         } catch (NumberFormatException e) {
--- a/router/src/main/java/ironwind/net/Clients.java
+++ b/router/src/main/java/ironwind/net/Clients.java
@@ -1,6 +1,9 @@
 package ironwind.net;
 
 import io.netty.channel.IoEventLoop;
+import ironwind.config.Address;
+import ironwind.config.NameIndex;
+import ironwind.config.RouterConfig;
 import ironwind.idle.Budget;
 import ironwind.idle.Budget.Use;
 import ironwind.idle.Debtors;
@@ -20,9 +23,6 @@
 import ironwind.pg.Encoder;
 import ironwind.pg.PgFault;
 import ironwind.pg.Statement;
-import ironwind.start.Address;
-import ironwind.start.Names;
-import ironwind.start.StartFacts;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.net.StandardSocketOptions;
@@ -65,7 +65,7 @@
     final IoEventLoop loop;
     final LoopSocket.Buffers buffers;
     private final Timers timers;
-    private final StartFacts facts;
+    private final RouterConfig facts;
 
     /** Let in at one time, the parting among them: what descriptors allow. */
     private final int most;
@@ -96,7 +96,7 @@
             IoEventLoop loop,
             Timers timers,
             LoopSocket.Buffers buffers,
-            StartFacts facts,
+            RouterConfig facts,
             Limits limits,
             Budget budget,
             int most,
@@ -441,7 +441,7 @@
             client.add(statement, 0).answer(rehearsed);
             return;
         }
-        Names names = facts.names();
+        NameIndex names = facts.names();
         Method method = known(names.methods().get(statement.need("c")), "c");
         Customer customer =
                 names.customers().isEmpty()
--- a/router/src/main/java/ironwind/net/Discovery.java
+++ b/router/src/main/java/ironwind/net/Discovery.java
@@ -11,13 +11,13 @@
 import io.vertx.core.http.RequestOptions;
 import io.vertx.core.json.JsonArray;
 import io.vertx.core.json.JsonObject;
+import ironwind.config.Address;
+import ironwind.config.NameIndex;
+import ironwind.config.RouterConfig;
 import ironwind.model.Host.Listing;
 import ironwind.model.Moment;
 import ironwind.model.RosterEntry;
 import ironwind.net.Counters.Count;
-import ironwind.start.Address;
-import ironwind.start.Names;
-import ironwind.start.StartFacts;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -40,7 +40,7 @@
     private final Vertx vertx;
     private HttpClientAgent client;
     private Address address;
-    private final Names names;
+    private final NameIndex names;
     private final LogicTask logic;
     private final HostConnections hosts;
     private final Counters counters;
@@ -52,7 +52,7 @@
 
     Discovery(
             Vertx vertx,
-            StartFacts facts,
+            RouterConfig facts,
             LogicTask logic,
             HostConnections hosts,
             Counters counters,
--- a/router/src/main/java/ironwind/net/HostConnections.java
+++ b/router/src/main/java/ironwind/net/HostConnections.java
@@ -1,14 +1,14 @@
 package ironwind.net;
 
 import io.netty.channel.IoEventLoop;
+import ironwind.config.Address;
+import ironwind.config.RouterConfig;
 import ironwind.idle.Budget;
 import ironwind.idle.Budget.Use;
 import ironwind.model.Moment;
 import ironwind.model.Span;
 import ironwind.net.Counters.Count;
 import ironwind.pg.PgFault;
-import ironwind.start.Address;
-import ironwind.start.StartFacts;
 import java.io.IOException;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -72,7 +72,7 @@
             IoEventLoop loop,
             Timers timers,
             LoopSocket.Buffers buffers,
-            StartFacts facts,
+            RouterConfig facts,
             Budget budget,
             int most,
             Counters counters,
@@ -80,8 +80,8 @@
         this.loop = loop;
         this.timers = timers;
         this.buffers = buffers;
-        this.connectTime = facts.connectTime();
-        this.idleTime = facts.hostIdleTime().times(IDLE_PART);
+        this.connectTime = facts.connectTimeout();
+        this.idleTime = facts.hostIdleTimeout().times(IDLE_PART);
         this.budget = budget;
         this.most = most;
         this.longestMessage = (int) (MESSAGE_PART * facts.memoryMb() * MEGABYTE);
--- a/router/src/main/java/ironwind/net/LogicTask.java
+++ b/router/src/main/java/ironwind/net/LogicTask.java
@@ -1,5 +1,6 @@
 package ironwind.net;
 
+import ironwind.config.RouterConfig;
 import ironwind.model.CallOut;
 import ironwind.model.Customer;
 import ironwind.model.Deployment;
@@ -17,7 +18,6 @@
 import ironwind.pg.Encoder;
 import ironwind.pg.Failure;
 import ironwind.pg.PgFault;
-import ironwind.start.StartFacts;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
@@ -101,7 +101,7 @@
 
     LogicTask(
             Timers timers,
-            StartFacts facts,
+            RouterConfig facts,
             Function<Outbound, Inbound> module,
             HostConnections hosts,
             Counters counters,
@@ -110,7 +110,7 @@
         this.deployment = facts.deployment();
         this.logic = module.apply(this);
         this.hosts = hosts;
-        this.probeTime = facts.connectTime();
+        this.probeTime = facts.connectTimeout();
         this.answerSlack = facts.answerSlack();
         this.counters = counters;
         this.log = log;
--- a/router/src/main/java/ironwind/net/LoopSocket.java
+++ b/router/src/main/java/ironwind/net/LoopSocket.java
@@ -8,7 +8,7 @@
 import io.netty.channel.nio.NioIoOps;
 import io.netty.channel.nio.NioSelectableChannelIoHandle;
 import io.netty.util.internal.PlatformDependent;
-import ironwind.start.Address;
+import ironwind.config.Address;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.net.StandardSocketOptions;
--- a/router/src/main/java/ironwind/net/Rehearsal.java
+++ b/router/src/main/java/ironwind/net/Rehearsal.java
@@ -1,6 +1,8 @@
 package ironwind.net;
 
 import io.netty.channel.IoEventLoop;
+import ironwind.config.Address;
+import ironwind.config.RouterConfig;
 import ironwind.idle.Budget;
 import ironwind.model.Customer;
 import ironwind.model.Host.Listing;
@@ -13,8 +15,6 @@
 import ironwind.pg.Encoder;
 import ironwind.pg.Row;
 import ironwind.pg.Statement;
-import ironwind.start.Address;
-import ironwind.start.StartFacts;
 import java.io.OutputStream;
 import java.io.PrintStream;
 import java.util.HashSet;
@@ -52,7 +52,7 @@
     private static final List<String> HOSTS = List.of("a", "b", "c", "d", "e", "f");
 
     private final Timers timers;
-    private final StartFacts facts;
+    private final RouterConfig facts;
     private final SplittableRandom random;
     private final HostConnections hosts;
     private final LogicTask task;
@@ -66,12 +66,12 @@
             IoEventLoop loop,
             Timers timers,
             LoopSocket.Buffers buffers,
-            StartFacts facts,
+            RouterConfig facts,
             Function<Outbound, Inbound> module,
             int most,
             IntConsumer done) {
         this.timers = timers;
-        this.facts = facts.withConnectTime(LONGEST);
+        this.facts = facts.withConnectTimeout(LONGEST);
         this.random = new SplittableRandom(facts.seed());
         this.done = done;
         Counters counters = new Counters();
--- a/router/src/main/java/ironwind/net/Router.java
+++ b/router/src/main/java/ironwind/net/Router.java
@@ -9,13 +9,13 @@
 import io.vertx.core.file.FileSystemOptions;
 import io.vertx.core.internal.ContextInternal;
 import ironwind.Logic;
+import ironwind.config.OperatorSettings;
+import ironwind.config.RouterConfig;
 import ironwind.idle.Budget;
 import ironwind.idle.Limits;
 import ironwind.model.Inbound;
 import ironwind.model.Outbound;
 import ironwind.model.Span;
-import ironwind.start.Installation;
-import ironwind.start.StartFacts;
 import java.io.IOException;
 import java.util.function.Function;
 
@@ -43,7 +43,7 @@
      */
     private static final long FIRST_LIST_MS = 2_000;
 
-    private final StartFacts facts;
+    private final RouterConfig facts;
     private final Log log;
     private final Function<Outbound, Inbound> module;
     private final Counters counters = new Counters();
@@ -56,12 +56,12 @@
     private Discovery discovery;
     private LogicTask logic;
 
-    public Router(StartFacts facts, Log log) {
-        this(facts, Installation.of(facts), log);
+    public Router(RouterConfig facts, Log log) {
+        this(facts, OperatorSettings.defaults(facts), log);
     }
 
     /** With what the installation's own file says. */
-    public Router(StartFacts facts, Installation installation, Log log) {
+    public Router(RouterConfig facts, OperatorSettings installation, Log log) {
         this(
                 facts,
                 installation,
@@ -69,23 +69,28 @@
                 outbound -> new Logic(facts.deployment(), facts.seed(), outbound));
     }
 
-    Router(StartFacts facts, Log log, Function<Outbound, Inbound> module) {
-        this(facts, Installation.of(facts), log, module);
+    Router(RouterConfig facts, Log log, Function<Outbound, Inbound> module) {
+        this(facts, OperatorSettings.defaults(facts), log, module);
     }
 
     /** With another module in the place of {@link Logic}. */
     Router(
-            StartFacts facts,
-            Installation installation,
+            RouterConfig facts,
+            OperatorSettings installation,
             Log log,
             Function<Outbound, Inbound> module) {
         this.facts = facts;
         // More than there are descriptors for would never meet their limit, and nobody would give
         // way to a newcomer.
-        int most = facts.idleLimits().connections();
-        this.limits = installation.idle().atMost(most);
-        if (installation.idle().connections() > most) {
-            log.warn("connections_cut", "asked", installation.idle().connections(), "most", most);
+        int most = facts.clientLimits().connections();
+        this.limits = installation.clientLimits().atMost(most);
+        if (installation.clientLimits().connections() > most) {
+            log.warn(
+                    "connections_cut",
+                    "asked",
+                    installation.clientLimits().connections(),
+                    "most",
+                    most);
         }
         this.module = module;
         this.log = log;
@@ -120,7 +125,7 @@
                                     buffers,
                                     facts,
                                     budget,
-                                    facts.mostToHosts(),
+                                    facts.maxHostConnections(),
                                     counters,
                                     log);
                     logic = new LogicTask(timers, facts, module, hosts, counters, log);
@@ -133,14 +138,14 @@
                                     facts,
                                     limits,
                                     budget,
-                                    facts.mostOfClients(),
+                                    facts.maxClientConnections(),
                                     logic,
                                     counters,
                                     log);
                     Promise<Void> heard = Promise.promise();
                     // Before the door opens: what a client writes to a loop that is still loading
                     // code would lie there.
-                    discovery.start(facts.knownHosts(), heard::tryComplete);
+                    discovery.start(facts.initialHostList(), heard::tryComplete);
                     vertx.setTimer(FIRST_LIST_MS, timer -> heard.tryComplete());
                     context.runOnContext(later -> open(started, heard.future(), timers, buffers));
                 });
@@ -170,7 +175,7 @@
             return;
         }
         if (rehearses) {
-            int most = Math.max(1, facts.mostOfClients() / 4);
+            int most = Math.max(1, facts.maxClientConnections() / 4);
             clients.rehearse(
                     new Rehearsal(
                             loop(),
@@ -210,7 +215,7 @@
      * Takes up new facts without letting go of a connection or an RPC: the address of discovery.
      * All others hold until the next start.
      */
-    public Future<Void> reload(StartFacts next) {
+    public Future<Void> reload(RouterConfig next) {
         Promise<Void> done = Promise.promise();
         context.runOnContext(
                 nothing -> {
--- a/router/src/test/java/ironwind/ArchitectureTest.java
+++ b/router/src/test/java/ironwind/ArchitectureTest.java
@@ -20,8 +20,8 @@
                     .definedBy("ironwind.adapter..")
                     .layer("net")
                     .definedBy("ironwind.net..")
-                    .layer("start")
-                    .definedBy("ironwind.start..")
+                    .layer("config")
+                    .definedBy("ironwind.config..")
                     .layer("logic")
                     .definedBy("ironwind")
                     .layer("idle")
@@ -38,16 +38,16 @@
                     .mayOnlyBeAccessedByLayers("boot")
                     .whereLayer("net")
                     .mayOnlyBeAccessedByLayers("boot")
-                    .whereLayer("start")
+                    .whereLayer("config")
                     .mayOnlyBeAccessedByLayers("boot", "adapter", "net")
                     .whereLayer("logic")
                     .mayOnlyBeAccessedByLayers("adapter", "net")
                     .whereLayer("idle")
-                    .mayOnlyBeAccessedByLayers("net", "start")
+                    .mayOnlyBeAccessedByLayers("net", "config")
                     .whereLayer("pg")
                     .mayOnlyBeAccessedByLayers("net")
                     .whereLayer("hcl")
-                    .mayOnlyBeAccessedByLayers("start", "boot");
+                    .mayOnlyBeAccessedByLayers("config", "boot");
 
     @ArchTest
     static final ArchRule DECIDING_DOES_NO_IO =
--- a/router/src/test/java/ironwind/adapter/StartFactsTest.java
+++ b/router/src/test/java/ironwind/adapter/RouterConfigTest.java
@@ -4,16 +4,16 @@
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
 import io.vertx.core.json.JsonObject;
+import ironwind.config.ConfigException;
+import ironwind.config.DeploymentReader;
+import ironwind.config.RouterConfig;
 import ironwind.model.Span;
-import ironwind.start.DeploymentReader;
-import ironwind.start.StartFacts;
-import ironwind.start.StartFault;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** The same settings through both doors. */
-class StartFactsTest {
+class RouterConfigTest {
     private static final String LINE =
             ("SPAWN caps.cancel=true caps.connect_timeout_us=250000 "
                             + "caps.idle_close_us=30000000 caps.most_tries=10 "
@@ -47,7 +47,7 @@
 
     @Test
     void bothDoorsGiveEqualFacts() {
-        StartFacts facts = StartFacts.read(new JsonObject(JSON));
+        RouterConfig facts = RouterConfig.read(new JsonObject(JSON));
         assertThat(facts.deployment()).isEqualTo(DeploymentReader.read(new Line(LINE, 1)));
         assertThat(facts.deployment().methods()).hasSize(2);
         assertThat(facts.deployment().probesTellPosition()).isTrue();
@@ -57,7 +57,7 @@
         assertThat(facts.names().zones()).containsExactly("auckland", "hamilton");
         assertThat(facts.seed()).isEqualTo(-1);
         assertThat(facts.listen()).hasToString("127.0.0.4:5432");
-        assertThat(facts.connectTime()).isEqualTo(Span.ofMillis(250));
+        assertThat(facts.connectTimeout()).isEqualTo(Span.ofMillis(250));
     }
 
     @ParameterizedTest(name = "{0} -> {1}: {2}")
@@ -72,8 +72,8 @@
                 "250000 | \"soon\" | settings.caps.connect_timeout_us is not a whole number: soon"
             })
     void whatIsMissingOrMalformedIsTold(String from, String to, String message) {
-        assertThatThrownBy(() -> StartFacts.read(new JsonObject(JSON.replace(from, to))))
-                .isInstanceOf(StartFault.class)
+        assertThatThrownBy(() -> RouterConfig.read(new JsonObject(JSON.replace(from, to))))
+                .isInstanceOf(ConfigException.class)
                 .hasMessage(message);
     }
 }
--- a/router/src/test/java/ironwind/start/InstallationTest.java
+++ b/router/src/test/java/ironwind/config/OperatorSettingsTest.java
@@ -1,12 +1,12 @@
-package ironwind.start;
+package ironwind.config;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.catchThrowableOfType;
 
+import ironwind.config.OperatorSettings.LogFormat;
 import ironwind.hcl.HclFault;
 import ironwind.idle.Limits;
 import ironwind.model.Span;
-import ironwind.start.Installation.LogForm;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -16,22 +16,22 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** The installation's own file. */
-class InstallationTest {
+class OperatorSettingsTest {
     private static final Limits USUAL =
             Limits.of(500, 192, Span.ofMillis(800), Span.ofMillis(1_500));
 
     @TempDir private Path folder;
 
-    private Installation read(String text) throws IOException {
+    private OperatorSettings read(String text) throws IOException {
         Path file = folder.resolve("i.hcl");
         Files.writeString(file, text);
-        return Installation.read(file, USUAL);
+        return OperatorSettings.read(file, USUAL);
     }
 
     @Test
     void whatIsNotSaidStaysAsItWas() throws IOException {
-        assertThat(read("")).isEqualTo(new Installation(USUAL, LogForm.PAIRS));
-        Installation said =
+        assertThat(read("")).isEqualTo(new OperatorSettings(USUAL, LogFormat.PAIRS));
+        OperatorSettings said =
                 read(
                         """
                 log {
@@ -46,8 +46,8 @@
                   send_buffer    = "64KiB"
                 }
                 """);
-        assertThat(said.logForm()).isEqualTo(LogForm.JSON);
-        assertThat(said.idle())
+        assertThat(said.logFormat()).isEqualTo(LogFormat.JSON);
+        assertThat(said.clientLimits())
                 .isEqualTo(
                         new Limits(
                                 18_000,
@@ -99,6 +99,6 @@
         Limits limits = Limits.of(100, memory, Span.ofMillis(shortest), Span.ofMillis(longest));
         Path file = folder.resolve("empty.hcl");
         Files.writeString(file, "idle {\n}\n");
-        assertThat(Installation.read(file, limits).idle()).isEqualTo(limits);
+        assertThat(OperatorSettings.read(file, limits).clientLimits()).isEqualTo(limits);
     }
 }
--- a/router/src/test/java/ironwind/net/RouterTest.java
+++ b/router/src/test/java/ironwind/net/RouterTest.java
@@ -7,6 +7,7 @@
 import io.vertx.core.json.JsonArray;
 import io.vertx.core.json.JsonObject;
 import ironwind.Logic;
+import ironwind.config.RouterConfig;
 import ironwind.model.Group;
 import ironwind.model.Inbound;
 import ironwind.model.Span;
@@ -18,7 +19,6 @@
 import ironwind.pg.HostMessage;
 import ironwind.pg.Row;
 import ironwind.pg.Statement;
-import ironwind.start.StartFacts;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.io.PrintStream;
@@ -89,7 +89,7 @@
     private StandInHost primary;
     private StandInHost replica;
     private HttpServer discovery;
-    private StartFacts facts;
+    private RouterConfig facts;
     private Router router;
     private int asked;
 
@@ -98,7 +98,7 @@
         primary = new StandInHost("primary");
         replica = new StandInHost("replica");
         discovery = discovery(lists);
-        facts = StartFacts.read(configuration(discovery));
+        facts = RouterConfig.read(configuration(discovery));
     }
 
     private HttpServer discovery(BlockingQueue<String> answers) throws IOException {
@@ -149,17 +149,17 @@
 
     private Router limited(int sockets, Span hostIdle) {
         return new Router(
-                        new StartFacts(
+                        new RouterConfig(
                                 facts.name(),
                                 facts.listen(),
                                 facts.discovery(),
                                 facts.seed(),
                                 sockets,
                                 facts.memoryMb(),
-                                facts.knownHosts(),
+                                facts.initialHostList(),
                                 facts.deployment(),
                                 facts.names(),
-                                facts.connectTime(),
+                                facts.connectTimeout(),
                                 hostIdle,
                                 facts.answerSlack()),
                         new Log(new PrintStream(log, true)))
@@ -387,7 +387,7 @@
      */
     @Test
     void silentConnectionsGiveWayToThoseThatSpeak() throws Exception {
-        begin(limited(32 + 20, facts.hostIdleTime()));
+        begin(limited(32 + 20, facts.hostIdleTimeout()));
         Wire known = client();
         readIsServed(known);
         List<Wire> silent = new ArrayList<>();
@@ -444,7 +444,7 @@
         BlockingQueue<String> news = new LinkedBlockingQueue<>();
         HttpServer next = discovery(news);
         news.add(list(1, primary.entry(), third.entry().put("id", "third")));
-        router.reload(StartFacts.read(configuration(next))).await(10, TimeUnit.SECONDS);
+        router.reload(RouterConfig.read(configuration(next))).await(10, TimeUnit.SECONDS);
         while (third.requests.isEmpty()) {
             readIsServed(client);
         }
@@ -463,7 +463,7 @@
      */
     @Test
     void connectionsToHostsAreClosedBeforeTheirHostsCloseThem() throws Exception {
-        begin(limited(facts.mostSockets(), Span.ofMillis(200)));
+        begin(limited(facts.maxSockets(), Span.ofMillis(200)));
         Wire client = client();
         readIsServed(client);
         assertThat(replica.ends.take()).isEqualTo("closed by the router");
@@ -474,7 +474,7 @@
     /** Of four sockets two are for clients, one is for one that comes, and one is for hosts. */
     @Test
     void whereSocketsAreShortIdleConnectionsGiveWay() throws Exception {
-        begin(limited(32 + 4, facts.hostIdleTime()));
+        begin(limited(32 + 4, facts.hostIdleTimeout()));
         Wire first = client();
         Wire second = admitted();
         readIsServed(second);
@@ -592,7 +592,7 @@
     void aLongListIsServedWholeWithFewDescriptors() throws Exception {
         JsonObject settings = SETTINGS.copy().put("peers_total", 1_024);
         facts =
-                StartFacts.read(
+                RouterConfig.read(
                         configuration(discovery)
                                 .put("settings", settings)
                                 .put("limits", new JsonObject().put("sockets", 96)));
