--- a/cli/src/main/java/ironwind/cli/Serve.java
+++ b/cli/src/main/java/ironwind/cli/Serve.java
@@ -1,6 +1,6 @@
 package ironwind.cli;
 
-import ironwind.boot.Service;
+import ironwind.boot.RouterService;
 import ironwind.config.OperatorSettings;
 import ironwind.config.OperatorSettings.LogFormat;
 import ironwind.config.RouterConfig;
@@ -43,7 +43,7 @@
         RouterConfig start = RouterConfig.read(facts);
         OperatorSettings installation = OperatorSettings.readOrDefaults(start, config);
         Log log = new Log(new LibrarySink(form == null ? installation.logFormat() : form));
-        new Service(facts, start, installation, log).run();
+        new RouterService(facts, start, installation, log).run();
         return 0;
     }
 }
--- a/router/src/main/java/ironwind/adapter/Adapter.java
+++ b/router/src/main/java/ironwind/adapter/Adapter.java
@@ -23,9 +23,9 @@
     private final InputStream in;
     private final OutputStream out;
     private final StringBuilder reply = new StringBuilder();
-    private final Map<Integer, RouterDoor> doors = new HashMap<>();
+    private final Map<Integer, SimulatedRouter> doors = new HashMap<>();
     private final Map<Integer, List<RosterEntry>> lists = new HashMap<>();
-    private final List<RouterDoor> touched = new ArrayList<>();
+    private final List<SimulatedRouter> touched = new ArrayList<>();
     private byte[] buffer = new byte[256];
     private long lineNumber;
 
@@ -44,7 +44,7 @@
                 batch(line);
             }
             return 0;
-        } catch (WireFault e) {
+        } catch (MalformedLineException e) {
             errors.append("ironwind: ").append(e.getMessage()).append(System.lineSeparator());
             return 1;
         }
@@ -58,7 +58,7 @@
         while (true) {
             Line line = next();
             if (line == null) {
-                throw new WireFault(
+                throw new MalformedLineException(
                         lineNumber,
                         "",
                         "OVER_TO_YOU",
@@ -69,7 +69,7 @@
             }
             event(now, line);
         }
-        for (RouterDoor door : touched) {
+        for (SimulatedRouter door : touched) {
             door.settle(now);
         }
         touched.clear();
@@ -88,7 +88,7 @@
                 Deployment deployment = DeploymentReader.read(line);
                 doors.put(
                         number,
-                        new RouterDoor(number, line.needWhole("entropy"), deployment, reply));
+                        new SimulatedRouter(number, line.needWhole("entropy"), deployment, reply));
                 touch(line);
             }
             case "DOWN" -> touched.remove(doors.remove(line.needSmall("router")));
@@ -114,8 +114,8 @@
         }
     }
 
-    private RouterDoor touch(Line line) {
-        RouterDoor door = doors.get(line.needSmall("router"));
+    private SimulatedRouter touch(Line line) {
+        SimulatedRouter door = doors.get(line.needSmall("router"));
         if (door == null) {
             throw line.fault("router", "names no running instance: " + line.text("router"));
         }
@@ -132,7 +132,7 @@
         for (int i = 0; i < count; i++) {
             Line item = next();
             if (item == null || !item.name().equals("ITEM")) {
-                throw new WireFault(
+                throw new MalformedLineException(
                         lineNumber,
                         "DEFINE_LIST",
                         "elements",
--- a/router/src/main/java/ironwind/adapter/Line.java
+++ b/router/src/main/java/ironwind/adapter/Line.java
@@ -76,7 +76,7 @@
     }
 
     @Override
-    public WireFault fault(String key, String what) {
-        return new WireFault(number, name, key, what);
+    public MalformedLineException fault(String key, String what) {
+        return new MalformedLineException(number, name, key, what);
     }
 }
--- a/router/src/main/java/ironwind/adapter/WireFault.java
+++ b/router/src/main/java/ironwind/adapter/MalformedLineException.java
@@ -1,10 +1,10 @@
 package ironwind.adapter;
 
 /** A malformed line, told by its number and field. */
-final class WireFault extends RuntimeException {
+final class MalformedLineException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
-    WireFault(long line, String message, String field, String what) {
+    MalformedLineException(long line, String message, String field, String what) {
         super(
                 "line "
                         + line
--- a/router/src/main/java/ironwind/adapter/RouterDoor.java
+++ b/router/src/main/java/ironwind/adapter/SimulatedRouter.java
@@ -23,7 +23,7 @@
  * One router instance at the wire's door: ids become objects on the way in, and ids again on the
  * way out.
  */
-final class RouterDoor implements Outbound {
+final class SimulatedRouter implements Outbound {
     private static final Map<String, Outcome> CODES =
             Map.of(
                     "delivered",
@@ -58,7 +58,7 @@
     private final Map<String, Rpc> rpcs = new HashMap<>();
     private boolean failed;
 
-    RouterDoor(int number, long seed, Deployment deployment, StringBuilder reply) {
+    SimulatedRouter(int number, long seed, Deployment deployment, StringBuilder reply) {
         this.number = number;
         this.reply = reply;
         this.deployment = deployment;
@@ -197,7 +197,7 @@
         }
         try {
             step.run();
-        } catch (WireFault e) {
+        } catch (MalformedLineException e) {
             throw e;
         } catch (RuntimeException e) {
             failed = true;
--- a/router/src/main/java/ironwind/boot/Main.java
+++ b/router/src/main/java/ironwind/boot/Main.java
@@ -61,7 +61,8 @@
                 throw new ConfigException(
                         "log.form: this jar writes pairs only, the ironwind command writes json too");
             }
-            new Service(Path.of(file), facts, installation, new Log(errors).withLibraries()).run();
+            new RouterService(Path.of(file), facts, installation, new Log(errors).withLibraries())
+                    .run();
             return 0;
         } catch (Exception e) {
             errors.println(
--- a/router/src/main/java/ironwind/boot/Service.java
+++ b/router/src/main/java/ironwind/boot/RouterService.java
@@ -9,13 +9,13 @@
 import sun.misc.Signal;
 
 /** A router as a process: SIGTERM lets it drain and end, SIGHUP has it read its facts again. */
-public final class Service {
+public final class RouterService {
     private final Path file;
     private final Log log;
     private final Router router;
 
     /** {@code file}: where the facts came from. */
-    public Service(Path file, RouterConfig facts, OperatorSettings installation, Log log) {
+    public RouterService(Path file, RouterConfig facts, OperatorSettings installation, Log log) {
         this.file = file;
         this.log = log;
         this.router = new Router(facts, installation, log);
