--- a/router/src/main/java/ironwind/adapter/Adapter.java
+++ b/router/src/main/java/ironwind/adapter/Adapter.java
@@ -16,32 +16,47 @@
 import java.util.List;
 import java.util.Map;
 
-/** Plays the wire on two streams: one reply a batch, many instances that share nothing. */
+/**
+ * Speaks the simulator's protocol on a pair of streams: reads batches of events, answers each with
+ * one batch of decisions, and runs any number of independent router instances.
+ */
 public final class Adapter {
-    private static final int CHUNK = 1 << 16;
+    private static final int BUFFER_BYTES = 1 << 16;
 
     private final InputStream in;
     private final OutputStream out;
     private final StringBuilder reply = new StringBuilder();
-    private final Map<Integer, SimulatedRouter> doors = new HashMap<>();
-    private final Map<Integer, List<RosterEntry>> lists = new HashMap<>();
-    private final List<SimulatedRouter> touched = new ArrayList<>();
-    private byte[] buffer = new byte[256];
+    private final Map<Integer, SimulatedRouter> routers = new HashMap<>();
+    private final Map<Integer, List<RosterEntry>> hostLists = new HashMap<>();
+
+    /** Routers with an event in the current batch, in the order of their first events. */
+    private final List<SimulatedRouter> batchRouters = new ArrayList<>();
+
+    private byte[] lineBuffer = new byte[256];
     private long lineNumber;
 
+    /**
+     * Creates an adapter.
+     *
+     * @param in lines of the simulator
+     * @param out lines to the simulator, flushed after each batch
+     */
     public Adapter(InputStream in, OutputStream out) {
-        this.in = new BufferedInputStream(in, CHUNK);
+        this.in = new BufferedInputStream(in, BUFFER_BYTES);
         this.out = out;
     }
 
     /**
-     * Runs until the input ends. Returns the process's exit code; says on {@code errors} what was
-     * malformed.
+     * Runs until the input ends.
+     *
+     * @param errors receives a message if a line is malformed
+     * @return the exit code: 0, or 1 if a line is malformed
+     * @throws IOException if reading or writing fails
      */
     public int run(Appendable errors) throws IOException {
         try {
-            for (Line line = next(); line != null; line = next()) {
-                batch(line);
+            for (Line line = nextLine(); line != null; line = nextLine()) {
+                processBatch(line);
             }
             return 0;
         } catch (MalformedLineException e) {
@@ -50,13 +65,13 @@
         }
     }
 
-    private void batch(Line frame) throws IOException {
+    private void processBatch(Line frame) throws IOException {
         if (!frame.name().equals("FRAME")) {
-            throw frame.fault("name", "should be FRAME, not " + frame.name());
+            throw frame.error("name", "should be FRAME, not " + frame.name());
         }
-        Moment now = new Moment(frame.needWhole("clock_us"));
+        Moment now = new Moment(frame.requireLong("clock_us"));
         while (true) {
-            Line line = next();
+            Line line = nextLine();
             if (line == null) {
                 throw new MalformedLineException(
                         lineNumber,
@@ -67,105 +82,107 @@
             if (line.name().equals("OVER_TO_YOU")) {
                 break;
             }
-            event(now, line);
+            handle(now, line);
         }
-        for (SimulatedRouter door : touched) {
-            door.settle(now);
+        for (SimulatedRouter router : batchRouters) {
+            router.settle(now);
         }
-        touched.clear();
+        batchRouters.clear();
         reply.append("NEXT\n");
         out.write(reply.toString().getBytes(StandardCharsets.UTF_8));
         out.flush();
         reply.setLength(0);
     }
 
-    private void event(Moment now, Line line) throws IOException {
+    private void handle(Moment now, Line line) throws IOException {
         switch (line.name()) {
-            case "DEFINE_LIST" -> define(line);
+            case "DEFINE_LIST" -> defineHostList(line);
             case "SPAWN" -> {
-                int number = line.needSmall("router");
-                touched.remove(doors.remove(number));
+                int number = line.requireInt("router");
+                batchRouters.remove(routers.remove(number));
                 Deployment deployment = DeploymentReader.read(line);
-                doors.put(
+                routers.put(
                         number,
-                        new SimulatedRouter(number, line.needWhole("entropy"), deployment, reply));
-                touch(line);
+                        new SimulatedRouter(
+                                number, line.requireLong("entropy"), deployment, reply));
+                addToBatch(line);
             }
-            case "DOWN" -> touched.remove(doors.remove(line.needSmall("router")));
-            case "ROSTER_CHANGE" -> touch(line).listed(now, line, lists);
-            case "CALL" -> touch(line).arrived(now, line);
-            case "VERDICT" -> touch(line).ended(now, line);
-            case "PING_RESULT" -> touch(line).probed(now, line);
-            case "CLIENT_LEFT" -> touch(line).left(now, line);
+            case "DOWN" -> batchRouters.remove(routers.remove(line.requireInt("router")));
+            case "ROSTER_CHANGE" -> addToBatch(line).onHostList(now, line, hostLists);
+            case "CALL" -> addToBatch(line).onRpcArrived(now, line);
+            case "VERDICT" -> addToBatch(line).onCallOutEnded(now, line);
+            case "PING_RESULT" -> addToBatch(line).onProbeEnded(now, line);
+            case "CLIENT_LEFT" -> addToBatch(line).onClientLeft(now, line);
             case "RING" -> {
-                line.needSmall("name");
-                touch(line);
+                line.requireInt("name");
+                addToBatch(line);
             }
             case "MEMO" -> {
-                line.needSmall("neighbour");
-                line.checkBytes("bytes");
-                touch(line);
+                line.requireInt("neighbour");
+                line.checkBase64("bytes");
+                addToBatch(line);
             }
             case "BEGUN" -> {
-                line.need("txn");
-                touch(line);
+                line.requireString("txn");
+                addToBatch(line);
             }
-            default -> throw line.fault("name", "is no message of this wire: " + line.name());
+            default -> throw line.error("name", "is not a known message: " + line.name());
         }
     }
 
-    private SimulatedRouter touch(Line line) {
-        SimulatedRouter door = doors.get(line.needSmall("router"));
-        if (door == null) {
-            throw line.fault("router", "names no running instance: " + line.text("router"));
+    /** Finds the router that a line addresses and includes it in the current batch. */
+    private SimulatedRouter addToBatch(Line line) {
+        SimulatedRouter router = routers.get(line.requireInt("router"));
+        if (router == null) {
+            throw line.error("router", "is not a running router: " + line.getString("router"));
         }
-        if (!touched.contains(door)) {
-            touched.add(door);
+        if (!batchRouters.contains(router)) {
+            batchRouters.add(router);
         }
-        return door;
+        return router;
     }
 
-    private void define(Line head) throws IOException {
-        int ref = head.needSmall("ref");
-        int count = head.needSmall("elements");
+    private void defineHostList(Line head) throws IOException {
+        int ref = head.requireInt("ref");
+        int count = head.requireInt("elements");
         List<RosterEntry> entries = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            Line item = next();
+            Line item = nextLine();
             if (item == null || !item.name().equals("ITEM")) {
                 throw new MalformedLineException(
                         lineNumber,
                         "DEFINE_LIST",
                         "elements",
-                        "promises " + count + " ITEM lines, " + i + " came");
+                        "announces " + count + " ITEM lines, but " + i + " followed");
             }
-            entries.add(entry(item));
+            entries.add(parseEntry(item));
         }
-        lists.put(ref, List.copyOf(entries));
+        hostLists.put(ref, List.copyOf(entries));
     }
 
-    private static RosterEntry entry(Line item) {
-        int health = item.small("health", 0);
+    private static RosterEntry parseEntry(Line item) {
+        int health = item.getInt("health", 0);
         Host.Listing listing =
                 switch (health) {
                     case 0 -> Host.Listing.READY;
                     case 1 -> Host.Listing.DRAINING;
                     case 2 -> Host.Listing.GONE;
-                    default -> throw item.fault("health", "has an unknown value: " + health);
+                    default -> throw item.error("health", "has an unknown value: " + health);
                 };
-        long since = item.whole("online_since_us", 0);
+        long onlineSinceUs = item.getLong("online_since_us", 0);
         return new RosterEntry(
-                item.need("host"),
-                item.small("zone", 0),
-                item.small("type", 0),
-                item.small("shard", 0),
+                item.requireString("host"),
+                item.getInt("zone", 0),
+                item.getInt("type", 0),
+                item.getInt("shard", 0),
                 listing,
-                item.number("power_hint", 1),
-                since == 0 ? Moment.NEVER : new Moment(since),
-                item.number("leads", 0) >= 1);
+                item.getDouble("power_hint", 1),
+                onlineSinceUs == 0 ? Moment.NEVER : new Moment(onlineSinceUs),
+                item.getDouble("leads", 0) >= 1);
     }
 
-    /** The next line that is not empty, or null at the end of the input. */
-    private Line next() throws IOException {
+    /** Returns the next line that is not empty, or null at the end of the input. */
+    private Line nextLine() throws IOException {
         while (true) {
             int length = 0;
             int read = in.read();
@@ -173,18 +190,19 @@
                 return null;
             }
             while (read >= 0 && read != '\n') {
-                if (length == buffer.length) {
-                    buffer = Arrays.copyOf(buffer, 2 * length);
+                if (length == lineBuffer.length) {
+                    lineBuffer = Arrays.copyOf(lineBuffer, 2 * length);
                 }
-                buffer[length++] = (byte) read;
+                lineBuffer[length++] = (byte) read;
                 read = in.read();
             }
             lineNumber++;
-            if (length > 0 && buffer[length - 1] == '\r') {
+            if (length > 0 && lineBuffer[length - 1] == '\r') {
                 length--;
             }
             if (length > 0) {
-                return new Line(new String(buffer, 0, length, StandardCharsets.UTF_8), lineNumber);
+                return new Line(
+                        new String(lineBuffer, 0, length, StandardCharsets.UTF_8), lineNumber);
             }
         }
     }
--- a/router/src/main/java/ironwind/adapter/Line.java
+++ b/router/src/main/java/ironwind/adapter/Line.java
@@ -4,8 +4,8 @@
 import java.util.Base64;
 
 /**
- * One line of the wire: a name and tab-parted name=value fields, looked up without regular
- * expressions.
+ * One line of the simulator's protocol: a name and tab-separated key=value fields. Fields are
+ * looked up by scanning the text, without regular expressions.
  */
 final class Line implements PropertySource {
     private final String text;
@@ -24,7 +24,7 @@
     }
 
     @Override
-    public String text(String key) {
+    public String getString(String key) {
         int from = name.length();
         int length = key.length();
         while (from >= 0 && from < text.length()) {
@@ -41,21 +41,21 @@
         return null;
     }
 
-    /** Checks bytes, whose content nothing here reads. */
-    void checkBytes(String key) {
-        String value = text(key);
+    /** Checks that the value is base64 or "-"; its content is not used. */
+    void checkBase64(String key) {
+        String value = getString(key);
         if (value != null && !value.equals("-")) {
             try {
                 Base64.getDecoder().decode(value);
             } catch (IllegalArgumentException e) {
-                throw fault(key, "is not base64");
+                throw error(key, "is not base64");
             }
         }
     }
 
-    /** One value of a load report, or NaN where it is absent. */
-    double reported(String key, String reportName) {
-        String report = text(key);
+    /** Returns one value of a load report ({@code name:value,...}), or NaN if it is absent. */
+    double reportValue(String key, String valueName) {
+        String report = getString(key);
         if (report == null || report.isEmpty() || report.equals("-")) {
             return Double.NaN;
         }
@@ -65,10 +65,10 @@
             int stop = comma < 0 ? report.length() : comma;
             int colon = report.indexOf(':', from);
             if (colon < 0 || colon >= stop) {
-                throw fault(key, "is no list of name:value pairs: " + report);
+                throw error(key, "is not a list of name:value pairs: " + report);
             }
-            if (colon - from == reportName.length() && report.startsWith(reportName, from)) {
-                return parseNumber(key, report.substring(colon + 1, stop));
+            if (colon - from == valueName.length() && report.startsWith(valueName, from)) {
+                return parseDouble(key, report.substring(colon + 1, stop));
             }
             from = stop + 1;
         }
@@ -76,7 +76,7 @@
     }
 
     @Override
-    public MalformedLineException fault(String key, String what) {
-        return new MalformedLineException(number, name, key, what);
+    public MalformedLineException error(String key, String problem) {
+        return new MalformedLineException(number, name, key, problem);
     }
 }
--- a/router/src/main/java/ironwind/adapter/MalformedLineException.java
+++ b/router/src/main/java/ironwind/adapter/MalformedLineException.java
@@ -1,17 +1,17 @@
 package ironwind.adapter;
 
-/** A malformed line, told by its number and field. */
+/** Thrown for a malformed line; the message tells its number, its name and the field. */
 final class MalformedLineException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
-    MalformedLineException(long line, String message, String field, String what) {
+    MalformedLineException(long lineNumber, String lineName, String field, String problem) {
         super(
                 "line "
-                        + line
-                        + (message.isEmpty() ? "" : " (" + message + ")")
+                        + lineNumber
+                        + (lineName.isEmpty() ? "" : " (" + lineName + ")")
                         + ": field '"
                         + field
                         + "' "
-                        + what);
+                        + problem);
     }
 }
--- a/router/src/main/java/ironwind/adapter/SimulatedRouter.java
+++ b/router/src/main/java/ironwind/adapter/SimulatedRouter.java
@@ -20,11 +20,11 @@
 import java.util.Map;
 
 /**
- * One router instance at the wire's door: ids become objects on the way in, and ids again on the
- * way out.
+ * One router instance under the simulator. Resolves the ids in events to model objects, calls the
+ * decision module, and writes its decisions as lines with ids.
  */
 final class SimulatedRouter implements Outbound {
-    private static final Map<String, Outcome> CODES =
+    private static final Map<String, Outcome> OUTCOMES =
             Map.of(
                     "delivered",
                     Outcome.OK,
@@ -45,86 +45,90 @@
                     "empty",
                     Outcome.MISS);
 
-    /** A position travels as four times itself, plus the role. */
-    private static final int NOTE_PARTS = 4;
+    /** The field {@code note} holds this factor times the position in ms, plus the role. */
+    private static final int NOTE_FACTOR = 4;
 
     private static final int ROLE_PRIMARY = 1;
     private static final int ROLE_REPLICA = 2;
 
     private final int number;
-    private final StringBuilder reply;
+    private final StringBuilder output;
     private final Deployment deployment;
     private final Inbound logic;
     private final Map<String, Rpc> rpcs = new HashMap<>();
     private boolean failed;
 
-    SimulatedRouter(int number, long seed, Deployment deployment, StringBuilder reply) {
+    SimulatedRouter(int number, long seed, Deployment deployment, StringBuilder output) {
         this.number = number;
-        this.reply = reply;
+        this.output = output;
         this.deployment = deployment;
         this.logic = new Logic(deployment, seed, this);
     }
 
-    void listed(Moment now, Line line, Map<Integer, List<RosterEntry>> lists) {
-        int scope = line.needSmall("scope");
+    void onHostList(Moment now, Line line, Map<Integer, List<RosterEntry>> hostLists) {
+        int scope = line.requireInt("scope");
         switch (scope) {
             case 1 -> {}
             case 0, 2, 3 -> {
-                List<RosterEntry> entries = lists.get(line.needSmall("ref"));
+                List<RosterEntry> entries = hostLists.get(line.requireInt("ref"));
                 if (entries == null) {
-                    throw line.fault("ref", "names no list");
+                    throw line.error("ref", "is not a defined host list");
                 }
-                guard(() -> logic.listed(now, scope != 3, entries));
+                runLogic(() -> logic.listed(now, scope != 3, entries));
             }
-            default -> throw line.fault("scope", "has an unknown value: " + scope);
+            default -> throw line.error("scope", "has an unknown value: " + scope);
         }
     }
 
-    void arrived(Moment now, Line line) {
-        String id = line.need("txn");
-        Method method = deployment.methods().get(index(line, "lane", deployment.methods().size()));
+    void onRpcArrived(Moment now, Line line) {
+        String id = line.requireString("txn");
+        Method method =
+                deployment.methods().get(requireIndex(line, "lane", deployment.methods().size()));
         int count = deployment.customers().size();
         Customer customer =
-                count == 0 ? null : deployment.customers().get(index(line, "account", count));
-        double tokenAge = line.number("token_age_ms", 0);
-        // The age is rounded down, so that the position asked for is never too low.
+                count == 0
+                        ? null
+                        : deployment.customers().get(requireIndex(line, "account", count));
+        double tokenAgeMs = line.getDouble("token_age_ms", 0);
+        // Rounded down, so that the position required is never too low.
         Moment token =
-                tokenAge <= 0
+                tokenAgeMs <= 0
                         ? Moment.NEVER
-                        : now.minus(new Span((long) Math.floor(tokenAge * 1_000)));
-        Moment deadline = new Moment(line.whole("not_after_us", now.plus(method.deadline()).us()));
-        guard(
+                        : now.minus(new Span((long) Math.floor(tokenAgeMs * 1_000)));
+        Moment deadline =
+                new Moment(line.getLong("not_after_us", now.plus(method.deadline()).us()));
+        runLogic(
                 () -> {
-                    int number = (int) line.number("cluster", 0);
-                    Group listed = logic.group(number);
-                    Group group = listed == null ? new Group(number) : listed;
+                    int groupNumber = (int) line.getDouble("cluster", 0);
+                    Group known = logic.group(groupNumber);
+                    Group group = known == null ? new Group(groupNumber) : known;
                     Rpc rpc =
                             new Rpc(
                                     id,
                                     method,
                                     customer,
                                     group,
-                                    line.text("conn_key"),
+                                    line.getString("conn_key"),
                                     now,
                                     deadline,
                                     token,
-                                    line.flag("repeat"));
+                                    line.getBoolean("repeat"));
                     rpcs.put(id, rpc);
                     logic.arrived(now, rpc);
                 });
     }
 
-    void ended(Moment now, Line line) {
-        String id = line.need("txn");
-        int attempt = line.needSmall("seq_no");
-        String code = line.need("code");
-        Outcome outcome = CODES.get(code);
+    void onCallOutEnded(Moment now, Line line) {
+        String id = line.requireString("txn");
+        int attempt = line.requireInt("seq_no");
+        String code = line.requireString("code");
+        Outcome outcome = OUTCOMES.get(code);
         if (outcome == null) {
-            throw line.fault("code", "has an unknown word: " + code);
+            throw line.error("code", "has an unknown value: " + code);
         }
-        long note = line.whole("note", 0);
-        Span took = new Span(line.whole("lag_us", 0));
-        boolean closed = line.flag("final");
+        long note = line.getLong("note", 0);
+        Span duration = new Span(line.getLong("lag_us", 0));
+        boolean finalAnswerSent = line.getBoolean("final");
         Rpc rpc = rpcs.get(id);
         if (rpc == null
                 || attempt < 0
@@ -133,40 +137,45 @@
             return;
         }
         Role role =
-                switch ((int) (note % NOTE_PARTS)) {
+                switch ((int) (note % NOTE_FACTOR)) {
                     case ROLE_PRIMARY -> Role.PRIMARY;
                     case ROLE_REPLICA -> Role.REPLICA;
                     default -> Role.UNTOLD;
                 };
-        long ms = note / NOTE_PARTS;
+        long positionMs = note / NOTE_FACTOR;
         Moment position =
-                ms == 0 ? Moment.NEVER : deployment.positionZero().plus(Span.ofMillis(ms));
-        guard(
+                positionMs == 0
+                        ? Moment.NEVER
+                        : deployment.positionZero().plus(Span.ofMillis(positionMs));
+        runLogic(
                 () ->
                         logic.ended(
                                 now,
                                 rpc.callOuts.get(attempt),
                                 outcome,
-                                closed,
+                                finalAnswerSent,
                                 role,
                                 position,
-                                took));
-        forget(rpc);
+                                duration));
+        removeIfDone(rpc);
     }
 
-    void probed(Moment now, Line line) {
-        String id = line.need("host");
-        boolean answered = line.need("code").equals("delivered");
-        double seconds = line.reported("usage", "x0");
-        double leads = line.reported("usage", "x1");
-        Role role = Double.isNaN(leads) ? Role.UNTOLD : leads >= 1 ? Role.PRIMARY : Role.REPLICA;
+    void onProbeEnded(Moment now, Line line) {
+        String id = line.requireString("host");
+        boolean answered = line.requireString("code").equals("delivered");
+        double positionSeconds = line.reportValue("usage", "x0");
+        double primaryValue = line.reportValue("usage", "x1");
+        Role role =
+                Double.isNaN(primaryValue)
+                        ? Role.UNTOLD
+                        : primaryValue >= 1 ? Role.PRIMARY : Role.REPLICA;
         Moment position =
-                Double.isNaN(seconds)
+                Double.isNaN(positionSeconds)
                         ? Moment.NEVER
                         : deployment
                                 .positionZero()
-                                .plus(new Span((long) Math.floor(seconds * 1_000_000)));
-        guard(
+                                .plus(new Span((long) Math.floor(positionSeconds * 1_000_000)));
+        runLogic(
                 () -> {
                     Host host = logic.host(id);
                     if (host != null) {
@@ -175,73 +184,74 @@
                 });
     }
 
-    void left(Moment now, Line line) {
-        Rpc rpc = rpcs.get(line.need("txn"));
+    void onClientLeft(Moment now, Line line) {
+        Rpc rpc = rpcs.get(line.requireString("txn"));
         if (rpc != null) {
-            guard(() -> logic.left(now, rpc));
-            forget(rpc);
+            runLogic(() -> logic.left(now, rpc));
+            removeIfDone(rpc);
         }
     }
 
     void settle(Moment now) {
-        guard(() -> logic.settle(now));
+        runLogic(() -> logic.settle(now));
     }
 
     /**
-     * An exception of the module ends this instance's day with a text that helps; it never takes
-     * others along.
+     * Runs a call of the decision module. After an exception this router ignores all further
+     * events; the exception and where it was thrown are reported to the simulator, and other
+     * routers go on.
      */
-    private void guard(Runnable step) {
+    private void runLogic(Runnable call) {
         if (failed) {
             return;
         }
         try {
-            step.run();
+            call.run();
         } catch (MalformedLineException e) {
             throw e;
         } catch (RuntimeException e) {
             failed = true;
             StackTraceElement[] trace = e.getStackTrace();
-            String where = trace.length == 0 ? "" : " at " + trace[0];
-            String text = (e + where).replace('\t', ' ').replace('\n', ' ').replace('\r', ' ');
-            action("INTERNAL_ERROR").append("\tmessage=").append(text).append('\n');
+            String origin = trace.length == 0 ? "" : " at " + trace[0];
+            String text = (e + origin).replace('\t', ' ').replace('\n', ' ').replace('\r', ' ');
+            startLine("INTERNAL_ERROR").append("\tmessage=").append(text).append('\n');
         }
     }
 
-    private void forget(Rpc rpc) {
+    private void removeIfDone(Rpc rpc) {
         if (rpc.stage == Rpc.Stage.OVER && rpc.out == 0) {
             rpcs.remove(rpc.id);
         }
     }
 
-    private int index(Line line, String key, int size) {
-        int value = line.small(key, 0);
+    private int requireIndex(Line line, String key, int size) {
+        int value = line.getInt(key, 0);
         if (value < 0 || value >= size) {
-            throw line.fault(key, "is out of range: " + value);
+            throw line.error(key, "is out of range: " + value);
         }
         return value;
     }
 
-    private StringBuilder action(String name) {
-        return reply.append(name).append("\trouter=").append(number);
+    private StringBuilder startLine(String name) {
+        return output.append(name).append("\trouter=").append(number);
     }
 
     @Override
     public void send(CallOut callOut, Span limit) {
-        action("HAND_OFF")
+        startLine("HAND_OFF")
                 .append("\ttxn=")
                 .append(callOut.rpc.id)
                 .append("\thost=")
                 .append(callOut.host.id);
         if (limit.us() > 0) {
-            reply.append("\tlimit_us=").append(limit.us());
+            output.append("\tlimit_us=").append(limit.us());
         }
-        reply.append('\n');
+        output.append('\n');
     }
 
     @Override
     public void cancel(CallOut callOut) {
-        action("UNDO_SEND")
+        startLine("UNDO_SEND")
                 .append("\ttxn=")
                 .append(callOut.rpc.id)
                 .append("\tseq_no=")
@@ -250,33 +260,33 @@
     }
 
     @Override
-    public void pushBack(Rpc rpc, Span comeBackAfter) {
-        action("DECLINE").append("\ttxn=").append(rpc.id);
-        if (comeBackAfter.us() > 0) {
-            reply.append("\tbackoff_us=").append(comeBackAfter.us());
+    public void pushBack(Rpc rpc, Span backoff) {
+        startLine("DECLINE").append("\ttxn=").append(rpc.id);
+        if (backoff.us() > 0) {
+            output.append("\tbackoff_us=").append(backoff.us());
         }
-        reply.append('\n');
-        forget(rpc);
+        output.append('\n');
+        removeIfDone(rpc);
     }
 
     @Override
     public void abort(Rpc rpc) {
-        action("END_FAILED").append("\ttxn=").append(rpc.id).append('\n');
-        forget(rpc);
+        startLine("END_FAILED").append("\ttxn=").append(rpc.id).append('\n');
+        removeIfDone(rpc);
     }
 
     @Override
     public void probe(Host host) {
-        action("PING").append("\thost=").append(host.id).append('\n');
+        startLine("PING").append("\thost=").append(host.id).append('\n');
     }
 
     @Override
     public void closeIdle(Host host) {
-        action("SHUT_IDLE").append("\thost=").append(host.id).append('\n');
+        startLine("SHUT_IDLE").append("\thost=").append(host.id).append('\n');
     }
 
     @Override
     public void wakeAt(Moment when) {
-        action("WAKE_ME").append("\twhen_us=").append(when.us()).append("\tname=0\n");
+        startLine("WAKE_ME").append("\twhen_us=").append(when.us()).append("\tname=0\n");
     }
 }
--- a/router/src/main/java/ironwind/boot/Main.java
+++ b/router/src/main/java/ironwind/boot/Main.java
@@ -17,8 +17,8 @@
 import java.nio.file.Path;
 
 /**
- * The small command line of a router's own jar, which starts quickly; {@code ironwind.cli} has the
- * whole one.
+ * The command line of the router's own jar: few commands and a quick start. The command line with
+ * all commands is in {@code ironwind.cli}.
  */
 public final class Main {
     private static final String USAGE =
@@ -26,18 +26,19 @@
             usage: ironwind COMMAND
 
             commands:
-              adapter      play the simulator's wire on standard input and output
-              serve        be a real router, as the file that ROUTER_CONFIG names says
+              adapter      speak the simulator's protocol on standard input and output
+              serve        run a router with the configuration file that ROUTER_CONFIG names
 
             options:
               --help       print this text
               --version    print the version
             """;
-    private static final int USAGE_ERROR = 2;
-    private static final int START_ERROR = 1;
+    private static final int EXIT_USAGE = 2;
+    private static final int EXIT_START_FAILED = 1;
 
     private Main() {}
 
+    /** Runs a command and exits with its code: 0, 1 if it failed, 2 for wrong usage. */
     public static void main(String[] args) throws IOException {
         PrintStream errors =
                 new PrintStream(
@@ -48,20 +49,22 @@
         }
     }
 
-    /** Serves until the process is asked to end; returns only where it could not start. */
-    private static int serve(String file, String hcl, PrintStream errors) {
+    /** Serves until the process is terminated; returns only if the router cannot start. */
+    private static int serve(String configFile, String settingsFile, PrintStream errors) {
         try {
-            if (file == null) {
-                throw new ConfigException("ROUTER_CONFIG names no file");
+            if (configFile == null) {
+                throw new ConfigException("ROUTER_CONFIG is not set");
             }
-            RouterConfig facts = RouterConfig.read(Path.of(file));
-            OperatorSettings installation =
-                    OperatorSettings.readOrDefaults(facts, hcl == null ? null : Path.of(hcl));
-            if (installation.logFormat() != LogFormat.PAIRS) {
+            RouterConfig config = RouterConfig.read(Path.of(configFile));
+            OperatorSettings settings =
+                    OperatorSettings.readOrDefaults(
+                            config, settingsFile == null ? null : Path.of(settingsFile));
+            if (settings.logFormat() != LogFormat.PAIRS) {
                 throw new ConfigException(
-                        "log.form: this jar writes pairs only, the ironwind command writes json too");
+                        "log.form: this jar writes pairs only; use the ironwind command for json");
             }
-            new RouterService(Path.of(file), facts, installation, new Log(errors).withLibraries())
+            new RouterService(
+                            Path.of(configFile), config, settings, new Log(errors).withLibraries())
                     .run();
             return 0;
         } catch (Exception e) {
@@ -70,14 +73,14 @@
                             + (e instanceof ConfigException || e instanceof HclFault
                                     ? e.getMessage()
                                     : e));
-            return START_ERROR;
+            return EXIT_START_FAILED;
         }
     }
 
     static int run(String[] args, InputStream in, OutputStream out, PrintStream errors)
             throws IOException {
-        String word = args.length == 1 ? args[0] : "";
-        switch (word) {
+        String command = args.length == 1 ? args[0] : "";
+        switch (command) {
             case "adapter":
                 return new Adapter(in, out).run(errors);
             case "serve":
@@ -93,7 +96,7 @@
                 return 0;
             default:
                 errors.print(USAGE);
-                return USAGE_ERROR;
+                return EXIT_USAGE;
         }
     }
 }
--- a/router/src/main/java/ironwind/boot/RouterService.java
+++ b/router/src/main/java/ironwind/boot/RouterService.java
@@ -8,20 +8,32 @@
 import java.nio.file.Path;
 import sun.misc.Signal;
 
-/** A router as a process: SIGTERM lets it drain and end, SIGHUP has it read its facts again. */
+/** Runs a router as a process: SIGTERM drains and stops it, SIGHUP reloads its start facts. */
 public final class RouterService {
     private final Path file;
     private final Log log;
     private final Router router;
 
-    /** {@code file}: where the facts came from. */
-    public RouterService(Path file, RouterConfig facts, OperatorSettings installation, Log log) {
+    /**
+     * Creates a service; {@link #run} starts the router.
+     *
+     * @param file the file of the start facts, read again on SIGHUP
+     * @param config the start facts
+     * @param settings the operator's settings
+     * @param log receives the router's log lines
+     */
+    public RouterService(Path file, RouterConfig config, OperatorSettings settings, Log log) {
         this.file = file;
         this.log = log;
-        this.router = new Router(facts, installation, log);
+        this.router = new Router(config, settings, log);
     }
 
-    /** Serves until the process is asked to end; throws where it can't begin. */
+    /**
+     * Serves until the process is terminated. Fails if the router cannot start, for example because
+     * its address is in use.
+     *
+     * @throws InterruptedException if the waiting thread is interrupted
+     */
     public void run() throws InterruptedException {
         Signal.handle(new Signal("HUP"), signal -> reload());
         router.start().await();
@@ -36,7 +48,7 @@
         Thread.currentThread().join();
     }
 
-    /** A file that can't be read or is not whole leaves what holds in force. */
+    /** Reloads the start facts; if the file is unreadable or malformed, the current ones stay. */
     private void reload() {
         try {
             router.reload(RouterConfig.read(file));
--- a/router/src/main/java/ironwind/config/ConfigException.java
+++ b/router/src/main/java/ironwind/config/ConfigException.java
@@ -1,10 +1,11 @@
 package ironwind.config;
 
-/** What is wrong with the facts that a router was to be started with. */
+/** Thrown when a router's configuration is missing, incomplete or malformed. */
 public final class ConfigException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
-    public ConfigException(String what) {
-        super(what);
+    /** Creates an exception with a message for the operator. */
+    public ConfigException(String message) {
+        super(message);
     }
 }
--- a/router/src/main/java/ironwind/config/DeploymentReader.java
+++ b/router/src/main/java/ironwind/config/DeploymentReader.java
@@ -12,9 +12,7 @@
 import java.util.List;
 import java.util.Map;
 
-/**
- * Reads the settings that a router is started with, from either door, into the deployment's facts.
- */
+/** Reads a {@link Deployment} from a router's settings, given as JSON or as a simulator's line. */
 public final class DeploymentReader {
     private static final Map<String, Effect> EFFECTS =
             Map.of(
@@ -24,7 +22,7 @@
                     Effect.TOKENED,
                     "fragile",
                     Effect.NON_IDEMPOTENT);
-    private static final Map<String, Freshness> LEVELS =
+    private static final Map<String, Freshness> READ_LEVELS =
             Map.of(
                     "update",
                     Freshness.WRITE,
@@ -36,75 +34,93 @@
                     Freshness.BOUNDED,
                     "loose",
                     Freshness.ANY);
-    private static final Map<String, HostChecks> CHECKS =
+    private static final Map<String, HostChecks> HOST_CHECKS =
             Map.of("off", HostChecks.NONE, "reject", HostChecks.REFUSE, "hold", HostChecks.REFUSE);
 
     private DeploymentReader() {}
 
-    public static Deployment read(PropertySource from) {
-        List<String> levels = from.list("extra.read_level");
-        List<String> bounds = from.list("extra.lag_allowed_us");
+    /**
+     * Reads a deployment; optional settings that are absent take their default.
+     *
+     * @throws RuntimeException from {@link PropertySource#error} if a setting is missing or
+     *     malformed
+     */
+    public static Deployment read(PropertySource settings) {
+        List<String> readLevels = settings.getList("extra.read_level");
+        List<String> lagBounds = settings.getList("extra.lag_allowed_us");
         List<Method> methods = new ArrayList<>();
-        int count = from.needSmall("lanes.count");
+        int count = settings.requireInt("lanes.count");
         for (int i = 0; i < count; i++) {
-            String at = "lanes." + i + ".";
-            long deadline = from.needWhole(at + "deadline_us");
-            long goal = from.whole(at + "goal_time_us", deadline);
-            double worth = from.number(at + "worth", 1);
-            String scope = from.text(at + "key_scope");
+            String prefix = "lanes." + i + ".";
+            long deadline = settings.requireLong(prefix + "deadline_us");
+            long softDeadline = settings.getLong(prefix + "goal_time_us", deadline);
+            double utility = settings.getDouble(prefix + "worth", 1);
+            String keyScope = settings.getString(prefix + "key_scope");
             methods.add(
                     new Method(
                             i,
-                            pick(from, at + "effect", EFFECTS, from.need(at + "effect")),
-                            i < levels.size()
-                                    ? pick(from, "extra.read_level", LEVELS, levels.get(i))
+                            lookUp(
+                                    settings,
+                                    prefix + "effect",
+                                    EFFECTS,
+                                    settings.requireString(prefix + "effect")),
+                            i < readLevels.size()
+                                    ? lookUp(
+                                            settings,
+                                            "extra.read_level",
+                                            READ_LEVELS,
+                                            readLevels.get(i))
                                     : Freshness.ANY,
                             new Span(
-                                    i < bounds.size()
-                                            ? from.parseWhole("extra.lag_allowed_us", bounds.get(i))
+                                    i < lagBounds.size()
+                                            ? settings.parseLong(
+                                                    "extra.lag_allowed_us", lagBounds.get(i))
                                             : 0),
-                            new Span(goal),
+                            new Span(softDeadline),
                             new Span(deadline),
-                            worth,
-                            worth * from.number(at + "late_worth", 0),
-                            "all".equals(scope),
-                            new Span(from.whole(at + "window_us", 0))));
+                            utility,
+                            utility * settings.getDouble(prefix + "late_worth", 0),
+                            "all".equals(keyScope),
+                            new Span(settings.getLong(prefix + "window_us", 0))));
         }
         List<Customer> customers = new ArrayList<>();
-        for (int i = 0; i < from.small("tenants.count", 0); i++) {
-            customers.add(new Customer(i, from.number("tenants." + i + ".quota_per_s", 0)));
+        for (int i = 0; i < settings.getInt("tenants.count", 0); i++) {
+            customers.add(new Customer(i, settings.getDouble("tenants." + i + ".quota_per_s", 0)));
         }
-        String via = from.text("reporting.via");
-        boolean reports = via != null && !via.equals("off");
-        String checks = from.text("extra.when_behind");
+        String reportChannel = settings.getString("reporting.via");
+        boolean reportsEnabled = reportChannel != null && !reportChannel.equals("off");
+        String hostChecks = settings.getString("extra.when_behind");
         return new Deployment(
                 methods,
                 customers,
-                Math.max(1, from.small("peers_total", 1)),
-                new Span(from.whole("period_us", 0)),
-                checks == null ? HostChecks.NONE : pick(from, "extra.when_behind", CHECKS, checks),
-                from.flag("caps.may_probe"),
-                reports && from.list("reporting.fields").contains("x0"),
-                "router".equals(from.text("extra.token_mode")),
-                from.flag("caps.cancel"),
-                from.flag("caps.parallel_tries"),
-                from.small("caps.most_tries", 1),
-                from.flag("caps.retry_after"),
-                new Span(from.whole("caps.max_retry_after_us", 0)),
-                from.number("prices.probe", 0),
-                from.number("over_share_worth", 1),
-                new Moment(from.whole("extra.zero_us", 0)),
-                from.flag("rules.soft_removal"),
-                from.number("rules.cold_from", 1),
-                new Span(from.whole("rules.warm_after_us", 0)),
-                from.number("rules.fall_multiple", 1),
-                new Span(from.whole("rules.fall_us", 0)));
+                Math.max(1, settings.getInt("peers_total", 1)),
+                new Span(settings.getLong("period_us", 0)),
+                hostChecks == null
+                        ? HostChecks.NONE
+                        : lookUp(settings, "extra.when_behind", HOST_CHECKS, hostChecks),
+                settings.getBoolean("caps.may_probe"),
+                reportsEnabled && settings.getList("reporting.fields").contains("x0"),
+                "router".equals(settings.getString("extra.token_mode")),
+                settings.getBoolean("caps.cancel"),
+                settings.getBoolean("caps.parallel_tries"),
+                settings.getInt("caps.most_tries", 1),
+                settings.getBoolean("caps.retry_after"),
+                new Span(settings.getLong("caps.max_retry_after_us", 0)),
+                settings.getDouble("prices.probe", 0),
+                settings.getDouble("over_share_worth", 1),
+                new Moment(settings.getLong("extra.zero_us", 0)),
+                settings.getBoolean("rules.soft_removal"),
+                settings.getDouble("rules.cold_from", 1),
+                new Span(settings.getLong("rules.warm_after_us", 0)),
+                settings.getDouble("rules.fall_multiple", 1),
+                new Span(settings.getLong("rules.fall_us", 0)));
     }
 
-    private static <T> T pick(PropertySource from, String key, Map<String, T> words, String word) {
-        T value = words.get(word);
+    private static <T> T lookUp(
+            PropertySource settings, String key, Map<String, T> values, String name) {
+        T value = values.get(name);
         if (value == null) {
-            throw from.fault(key, "has an unknown word: " + word);
+            throw settings.error(key, "has an unknown value: " + name);
         }
         return value;
     }
--- a/router/src/main/java/ironwind/config/JsonPropertySource.java
+++ b/router/src/main/java/ironwind/config/JsonPropertySource.java
@@ -7,14 +7,20 @@
 import java.util.stream.Collectors;
 
 /**
- * Nested JSON as a flat view: paths joined by dots, a list of objects as its length under {@code
- * .count} and its items under their numbers, a list of plain values joined by commas.
+ * Flattens nested JSON into key-value pairs. Keys are paths joined by dots. A list of objects
+ * becomes its length under {@code .count} and its items under their indexes; a list of plain values
+ * becomes one comma-separated value. Nulls count as absent.
  */
 public final class JsonPropertySource implements PropertySource {
     private final String root;
     private final Map<String, String> values = new HashMap<>();
 
-    /** {@code root} names the object in faults. */
+    /**
+     * Flattens a JSON object.
+     *
+     * @param root the object's name in error messages
+     * @param object the object to flatten
+     */
     public JsonPropertySource(String root, JsonObject object) {
         this.root = root;
         object.forEach(entry -> flatten(entry.getKey(), entry.getValue()));
@@ -24,8 +30,8 @@
         if (value instanceof JsonObject object) {
             object.forEach(entry -> flatten(path + "." + entry.getKey(), entry.getValue()));
         } else if (value instanceof JsonArray array) {
-            boolean objects = array.stream().anyMatch(JsonObject.class::isInstance);
-            if (objects) {
+            boolean hasObjects = array.stream().anyMatch(JsonObject.class::isInstance);
+            if (hasObjects) {
                 values.put(path + ".count", Integer.toString(array.size()));
                 for (int i = 0; i < array.size(); i++) {
                     flatten(path + "." + i, array.getValue(i));
@@ -34,16 +40,16 @@
                 values.put(
                         path,
                         array.stream()
-                                .map(JsonPropertySource::plain)
+                                .map(JsonPropertySource::format)
                                 .collect(Collectors.joining(",")));
             }
         } else if (value != null) {
-            values.put(path, plain(value));
+            values.put(path, format(value));
         }
     }
 
-    /** A number without a fraction is written without one, however it stood in the JSON. */
-    private static String plain(Object value) {
+    /** Formats 400000.0 as "400000", so that whole numbers parse however the JSON wrote them. */
+    private static String format(Object value) {
         boolean whole =
                 value instanceof Double number
                         && number == Math.rint(number)
@@ -52,12 +58,12 @@
     }
 
     @Override
-    public String text(String key) {
+    public String getString(String key) {
         return values.get(key);
     }
 
     @Override
-    public ConfigException fault(String key, String what) {
-        return new ConfigException(root + "." + key + " " + what);
+    public ConfigException error(String key, String problem) {
+        return new ConfigException(root + "." + key + " " + problem);
     }
 }
--- a/router/src/main/java/ironwind/config/LimitsReader.java
+++ b/router/src/main/java/ironwind/config/LimitsReader.java
@@ -4,54 +4,58 @@
 import ironwind.idle.Limits;
 import ironwind.model.Span;
 
-/** The block {@code idle} of {@code deploy/ironwind.hcl}: the limits on client connections. */
+/** Reads the limits on client connections from the block {@code idle} of the settings file. */
 final class LimitsReader {
-    private static final int MOST_CONNECTIONS = 1_000_000;
-    private static final int MOST_A_SECOND = 1_000_000;
-    private static final Span SHORTEST = Span.ofMillis(10);
-    private static final Span LONGEST = Span.ofMillis(30L * 24 * 3_600_000);
-    private static final long LEAST_BYTES = 256 << 10;
-    private static final long MOST_BYTES = 1L << 40;
+    private static final int MAX_CONNECTIONS = 1_000_000;
+    private static final int MAX_PER_SECOND = 1_000_000;
+    private static final Span MIN_TIMEOUT = Span.ofMillis(10);
+    private static final Span MAX_TIMEOUT = Span.ofMillis(30L * 24 * 3_600_000);
+    private static final long MIN_MEMORY = 256 << 10;
+    private static final long MAX_BYTES = 1L << 40;
 
     private LimitsReader() {}
 
-    static Limits read(Section idle, Limits otherwise) {
-        int connections = idle.whole("connections", 1, MOST_CONNECTIONS, otherwise.connections());
-        int newPerSecond = idle.whole("new_per_second", 0, MOST_A_SECOND, otherwise.newPerSecond());
+    static Limits read(Section idle, Limits defaults) {
+        int connections = idle.whole("connections", 1, MAX_CONNECTIONS, defaults.connections());
+        int newPerSecond = idle.whole("new_per_second", 0, MAX_PER_SECOND, defaults.newPerSecond());
         Limits limits =
                 new Limits(
                         connections,
-                        idle.whole("per_address", 0, MOST_CONNECTIONS, otherwise.perAddress()),
-                        idle.whole("per_customer", 0, MOST_CONNECTIONS, otherwise.perCustomer()),
+                        idle.whole("per_address", 0, MAX_CONNECTIONS, defaults.perAddress()),
+                        idle.whole("per_customer", 0, MAX_CONNECTIONS, defaults.perCustomer()),
                         newPerSecond,
                         idle.whole(
                                 "new_at_once",
                                 0,
-                                MOST_A_SECOND,
+                                MAX_PER_SECOND,
                                 newPerSecond == 0
-                                        ? otherwise.newAtOnce()
+                                        ? defaults.newAtOnce()
                                         : Math.max(1, newPerSecond / 10)),
-                        idle.span("startup_time", SHORTEST, LONGEST, otherwise.startupTime()),
-                        idle.span("message_time", SHORTEST, LONGEST, otherwise.messageTime()),
-                        idle.span("greeted_time", Span.ZERO, LONGEST, otherwise.greetedTime()),
-                        idle.span("served_time", Span.ZERO, LONGEST, otherwise.servedTime()),
-                        idle.span("crowded_time", Span.ZERO, LONGEST, otherwise.crowdedTime()),
-                        idle.part("crowded_part", otherwise.crowdedPart()),
-                        idle.bytes("memory", LEAST_BYTES, MOST_BYTES, otherwise.memory()),
-                        idle.bytes("owed_each", 1, MOST_BYTES, otherwise.owedEach()),
-                        idle.bytes("owed_all", 1, MOST_BYTES, otherwise.owedAll()),
+                        idle.span("startup_time", MIN_TIMEOUT, MAX_TIMEOUT, defaults.startupTime()),
+                        idle.span("message_time", MIN_TIMEOUT, MAX_TIMEOUT, defaults.messageTime()),
+                        idle.span("greeted_time", Span.ZERO, MAX_TIMEOUT, defaults.greetedTime()),
+                        idle.span("served_time", Span.ZERO, MAX_TIMEOUT, defaults.servedTime()),
+                        idle.span("crowded_time", Span.ZERO, MAX_TIMEOUT, defaults.crowdedTime()),
+                        idle.part("crowded_part", defaults.crowdedPart()),
+                        idle.bytes("memory", MIN_MEMORY, MAX_BYTES, defaults.memory()),
+                        idle.bytes("owed_each", 1, MAX_BYTES, defaults.owedEach()),
+                        idle.bytes("owed_all", 1, MAX_BYTES, defaults.owedAll()),
                         idle.span(
-                                "slow_reader_time", SHORTEST, LONGEST, otherwise.slowReaderTime()),
-                        idle.whole("open_rpcs", 1, MOST_CONNECTIONS, otherwise.openRpcs()),
+                                "slow_reader_time",
+                                MIN_TIMEOUT,
+                                MAX_TIMEOUT,
+                                defaults.slowReaderTime()),
+                        idle.whole("open_rpcs", 1, MAX_CONNECTIONS, defaults.openRpcs()),
                         idle.span(
                                 "turn_time",
                                 new Span(100),
                                 Span.ofMillis(100),
-                                otherwise.turnTime()),
-                        idle.span("crowd_time", Span.ofMillis(1), LONGEST, otherwise.crowdTime()),
-                        idle.span("active_time", Span.ZERO, LONGEST, otherwise.activeTime()),
-                        idle.span("keepalive", Span.ZERO, LONGEST, otherwise.keepalive()),
-                        idle.bytes("send_buffer", 0, 1 << 30, otherwise.sendBuffer()));
+                                defaults.turnTime()),
+                        idle.span(
+                                "crowd_time", Span.ofMillis(1), MAX_TIMEOUT, defaults.crowdTime()),
+                        idle.span("active_time", Span.ZERO, MAX_TIMEOUT, defaults.activeTime()),
+                        idle.span("keepalive", Span.ZERO, MAX_TIMEOUT, defaults.keepalive()),
+                        idle.bytes("send_buffer", 0, 1 << 30, defaults.sendBuffer()));
         idle.require(
                 limits.perAddress() <= connections,
                 "is more than connections",
@@ -64,7 +68,7 @@
                 "connections");
         idle.require(
                 limits.owedAll() < limits.memory(),
-                "is not less than memory, so that slow readers could leave " + "nothing for others",
+                "is not less than memory: slow readers could take all of it",
                 "owed_all",
                 "memory");
         idle.require(
@@ -76,12 +80,12 @@
                 limits.crowdedTime().us() == 0
                         || limits.servedTime().us() == 0
                         || !limits.crowdedTime().longerThan(limits.servedTime()),
-                "is longer than served_time, though it holds when room is short",
+                "is longer than served_time, although it applies when connections run short",
                 "crowded_time",
                 "served_time");
         idle.require(
                 newPerSecond > 0 || !idle.has("new_at_once"),
-                "says nothing without new_per_second",
+                "has no effect without new_per_second",
                 "new_at_once");
         idle.done();
         return limits;
--- a/router/src/main/java/ironwind/config/NameIndex.java
+++ b/router/src/main/java/ironwind/config/NameIndex.java
@@ -8,7 +8,13 @@
 import java.util.Map;
 
 /**
- * What the deployment's things are called on the wire. The decision module never sees these names.
+ * Resolves external names to the objects and numbers that the decision module works with; that
+ * module never sees the names.
+ *
+ * @param methods methods by name
+ * @param customers customers by name
+ * @param zones zone names; a zone's number is its position in the list
+ * @param kinds names of host kinds; a kind's number is its position in the list
  */
 public record NameIndex(
         Map<String, Method> methods,
@@ -16,15 +22,17 @@
         List<String> zones,
         List<String> kinds) {
 
-    static NameIndex read(PropertySource from, Deployment deployment) {
+    static NameIndex read(PropertySource settings, Deployment deployment) {
         Map<String, Method> methods = new HashMap<>();
         for (Method method : deployment.methods()) {
-            methods.put(from.need("lanes." + method.index() + ".name"), method);
+            methods.put(settings.requireString("lanes." + method.index() + ".name"), method);
         }
         Map<String, Customer> customers = new HashMap<>();
         for (Customer customer : deployment.customers()) {
-            customers.put(from.need("tenants." + customer.index() + ".name"), customer);
+            customers.put(
+                    settings.requireString("tenants." + customer.index() + ".name"), customer);
         }
-        return new NameIndex(methods, customers, from.list("zones"), from.list("kinds"));
+        return new NameIndex(
+                methods, customers, settings.getList("zones"), settings.getList("kinds"));
     }
 }
--- a/router/src/main/java/ironwind/config/OperatorSettings.java
+++ b/router/src/main/java/ironwind/config/OperatorSettings.java
@@ -8,48 +8,56 @@
 import java.nio.file.Path;
 
 /**
- * What {@code deploy/ironwind.hcl} says, a block a subsystem; without the file everything is as the
- * start facts say.
+ * The operator's settings from an HCL file such as {@code deploy/ironwind.hcl}, one block per
+ * subsystem. Settings that are absent keep defaults derived from the {@link RouterConfig}.
+ *
+ * @param clientLimits limits on client connections (block {@code idle})
+ * @param logFormat how log lines are written (block {@code log})
  */
 public record OperatorSettings(Limits clientLimits, LogFormat logFormat) {
     /** How log lines are written. */
     public enum LogFormat {
         /** Time, level, event, then key=value pairs. */
         PAIRS,
-        /** One JSON object a line. */
+        /** One JSON object per line. */
         JSON
     }
 
-    /** Without a file. */
-    public static OperatorSettings defaults(RouterConfig facts) {
-        return new OperatorSettings(facts.clientLimits(), LogFormat.PAIRS);
+    /** Returns the settings that apply without a file. */
+    public static OperatorSettings defaults(RouterConfig config) {
+        return new OperatorSettings(config.clientLimits(), LogFormat.PAIRS);
     }
 
-    /** As the file says; null for none. */
-    public static OperatorSettings readOrDefaults(RouterConfig facts, Path file) {
-        return file == null ? defaults(facts) : read(file, facts.clientLimits());
+    /**
+     * Reads the settings from the file, or returns the defaults if the file is null.
+     *
+     * @throws ironwind.hcl.HclFault if the file has errors
+     */
+    public static OperatorSettings readOrDefaults(RouterConfig config, Path file) {
+        return file == null ? defaults(config) : read(file, config.clientLimits());
     }
 
     /**
-     * Reads a file whole or not at all; an {@link ironwind.hcl.HclFault} tells all that is wrong
-     * with it.
+     * Reads and checks a whole file.
+     *
+     * @throws ironwind.hcl.HclFault with all errors in the file, if it has any
      */
-    public static OperatorSettings read(Path file, Limits otherwise) {
-        Complaints complaints = new Complaints(file.toString());
-        Block block = HclReader.read(file, complaints);
-        return read(block, otherwise, complaints);
+    public static OperatorSettings read(Path file, Limits defaults) {
+        Complaints errors = new Complaints(file.toString());
+        Block root = HclReader.read(file, errors);
+        return read(root, defaults, errors);
     }
 
-    static OperatorSettings read(Block file, Limits otherwise, Complaints complaints) {
-        Section all = new Section(file, complaints);
+    static OperatorSettings read(Block root, Limits defaults, Complaints errors) {
+        Section all = new Section(root, errors);
         Section log = all.only("log");
-        OperatorSettings read =
+        OperatorSettings settings =
                 new OperatorSettings(
-                        LimitsReader.read(all.only("idle"), otherwise),
+                        LimitsReader.read(all.only("idle"), defaults),
                         log.choice("form", LogFormat.class, LogFormat.PAIRS));
         log.done();
         all.done();
-        complaints.throwIfAny();
-        return read;
+        errors.throwIfAny();
+        return settings;
     }
 }
--- a/router/src/main/java/ironwind/config/PropertySource.java
+++ b/router/src/main/java/ironwind/config/PropertySource.java
@@ -3,85 +3,95 @@
 import java.util.List;
 
 /**
- * A flat view of names and values, such as the fields of a line, or nested settings with their
- * paths as names.
+ * Typed access to flat key-value pairs: the fields of a line, or nested settings whose keys are
+ * paths. The typed accessors throw {@link #error} for a malformed value, and the {@code require}
+ * methods also for a missing one.
  */
 public interface PropertySource {
-    /** The value of this name, or null where it is absent. */
-    String text(String key);
+    /** Returns the value of the key, or null if the key is absent. */
+    String getString(String key);
 
-    /** What to throw where a value is missing or malformed. */
-    RuntimeException fault(String key, String what);
+    /** Creates the exception to throw for a missing or malformed value. */
+    RuntimeException error(String key, String problem);
 
-    default String need(String key) {
-        String value = text(key);
+    /** Returns the value of the key, which must be present and not empty. */
+    default String requireString(String key) {
+        String value = getString(key);
         if (value == null || value.isEmpty()) {
-            throw fault(key, "is missing");
+            throw error(key, "is missing");
         }
         return value;
     }
 
-    default long whole(String key, long absent) {
-        String value = text(key);
-        return value == null ? absent : parseWhole(key, value);
+    /** Returns the value as a whole number, or the default if the key is absent. */
+    default long getLong(String key, long defaultValue) {
+        String value = getString(key);
+        return value == null ? defaultValue : parseLong(key, value);
     }
 
-    default long needWhole(String key) {
-        return parseWhole(key, need(key));
+    /** Returns the value as a whole number; the key must be present. */
+    default long requireLong(String key) {
+        return parseLong(key, requireString(key));
     }
 
-    default int small(String key, int absent) {
-        long value = whole(key, absent);
+    /** Returns the value as a whole number of 32 bits, or the default if the key is absent. */
+    default int getInt(String key, int defaultValue) {
+        long value = getLong(key, defaultValue);
         if (value < Integer.MIN_VALUE || value > Integer.MAX_VALUE) {
-            throw fault(key, "is out of range: " + value);
+            throw error(key, "is out of range: " + value);
         }
         return (int) value;
     }
 
-    default int needSmall(String key) {
-        need(key);
-        return small(key, 0);
+    /** Returns the value as a whole number of 32 bits; the key must be present. */
+    default int requireInt(String key) {
+        requireString(key);
+        return getInt(key, 0);
     }
 
-    default double number(String key, double absent) {
-        String value = text(key);
-        return value == null ? absent : parseNumber(key, value);
+    /** Returns the value as a finite number, or the default if the key is absent. */
+    default double getDouble(String key, double defaultValue) {
+        String value = getString(key);
+        return value == null ? defaultValue : parseDouble(key, value);
     }
 
-    /** The items of a list joined by commas; none where it is empty or absent. */
-    default List<String> list(String key) {
-        String value = text(key);
+    /** Returns the items of a comma-separated list; none if the value is empty or absent. */
+    default List<String> getList(String key) {
+        String value = getString(key);
         return value == null || value.isEmpty() ? List.of() : List.of(value.split(",", -1));
     }
 
-    default boolean flag(String key) {
-        String value = text(key);
+    /** Returns a boolean written as 1, 0, true or false; false if the key is absent. */
+    default boolean getBoolean(String key) {
+        String value = getString(key);
         if (value == null || value.equals("0") || value.equals("false")) {
             return false;
         }
         if (value.equals("1") || value.equals("true")) {
             return true;
         }
-        throw fault(key, "is neither 1 nor 0: " + value);
+        throw error(key, "is not a boolean (1, 0, true or false): " + value);
     }
 
-    default long parseWhole(String key, String value) {
+    /** Parses a whole number; the key only serves the error message. */
+    default long parseLong(String key, String value) {
         try {
             return Long.parseLong(value);
         } catch (NumberFormatException e) {
-            throw fault(key, "is not a whole number: " + value);
+            throw error(key, "is not a whole number: " + value);
         }
     }
 
-    default double parseNumber(String key, String value) {
+    /** Parses a finite number; the key only serves the error message. */
+    default double parseDouble(String key, String value) {
         try {
             double number = Double.parseDouble(value);
             if (Double.isFinite(number)) {
                 return number;
             }
         } catch (NumberFormatException e) {
-            // told below, with the field's name
+            // reported below together with the key
         }
-        throw fault(key, "is not a number: " + value);
+        throw error(key, "is not a number: " + value);
     }
 }
--- a/router/src/main/java/ironwind/config/RouterConfig.java
+++ b/router/src/main/java/ironwind/config/RouterConfig.java
@@ -11,7 +11,22 @@
 import java.nio.file.Path;
 import java.util.List;
 
-/** The facts that a real router is started with. */
+/**
+ * The start facts of a router process, read from a JSON file.
+ *
+ * @param name the router's name
+ * @param listen where clients connect
+ * @param discovery the discovery service
+ * @param seed the seed of random decisions
+ * @param maxSockets file descriptors that the process may open
+ * @param memoryMb memory that the process may use, in MiB
+ * @param initialHostList the host list to start with, as the discovery service would send it
+ * @param deployment the deployment as the decision module sees it
+ * @param names external names of methods, customers, zones and host kinds
+ * @param connectTimeout time that connecting to a host may take
+ * @param hostIdleTimeout time after which a host closes an idle connection
+ * @param answerSlack time after an RPC's deadline by which it must have been answered
+ */
 public record RouterConfig(
         String name,
         Address listen,
@@ -25,25 +40,25 @@
         Span connectTimeout,
         Span hostIdleTimeout,
         Span answerSlack) {
-    /** DEPLOY and LATER: no router gets less. */
-    private static final int LEAST_MEMORY_MB = 32;
+    /** Default of {@code limits.memory_mb}; no router is given less. */
+    private static final int DEFAULT_MEMORY_MB = 32;
 
-    /**
-     * Descriptors for all that is no connection of a client or a host: files, selectors, discovery.
-     */
-    private static final int OTHER_DESCRIPTORS = 32;
+    /** Descriptors that are not connections of clients or hosts: files, selectors, discovery. */
+    private static final int RESERVED_DESCRIPTORS = 32;
 
-    /** Of the others, the part that connections to hosts may take. */
-    private static final double HOSTS_PART = 0.4;
+    /** Share of the remaining descriptors that connections to hosts may take. */
+    private static final double HOST_CONNECTION_SHARE = 0.4;
 
     /**
-     * Of the clients' part, what the door lets in beyond it, so that one that comes can take
-     * another's place.
+     * Share of the clients' descriptors that is left above the connection limit, so that a new
+     * connection can be accepted before an existing one is closed to make room for it.
      */
-    private static final double SPARE_PART = 0.1;
+    private static final double SPARE_CLIENT_SHARE = 0.1;
 
     /**
-     * Reads them from a JSON file; a {@link ConfigException} tells what is missing or malformed.
+     * Reads a JSON file.
+     *
+     * @throws ConfigException if the file cannot be read, or a value is missing or malformed
      */
     public static RouterConfig read(Path file) {
         try {
@@ -51,61 +66,69 @@
         } catch (IOException e) {
             throw new ConfigException(file + " cannot be read: " + e);
         } catch (DecodeException e) {
-            throw new ConfigException(file + " is no JSON: " + e.getMessage());
+            throw new ConfigException(file + " is not valid JSON: " + e.getMessage());
         }
     }
 
+    /**
+     * Reads a JSON object.
+     *
+     * @throws ConfigException if a value is missing or malformed
+     */
     public static RouterConfig read(JsonObject json) {
-        PropertySource top = new JsonPropertySource("configuration", json);
+        PropertySource root = new JsonPropertySource("configuration", json);
         PropertySource settings = new JsonPropertySource("settings", child(json, "settings"));
         Deployment deployment = DeploymentReader.read(settings);
         return new RouterConfig(
-                top.need("name"),
-                Address.parse(top.need("listen")),
-                Address.parse(top.need("discovery")),
-                seed(top),
-                top.needSmall("limits.sockets"),
-                top.small("limits.memory_mb", LEAST_MEMORY_MB),
+                root.requireString("name"),
+                Address.parse(root.requireString("listen")),
+                Address.parse(root.requireString("discovery")),
+                parseSeed(root),
+                root.requireInt("limits.sockets"),
+                root.getInt("limits.memory_mb", DEFAULT_MEMORY_MB),
                 child(json, "known"),
                 deployment,
                 NameIndex.read(settings, deployment),
-                new Span(settings.needWhole("caps.connect_timeout_us")),
-                new Span(settings.needWhole("caps.idle_close_us")),
-                new Span(settings.needWhole("rules.answer_slack_us")));
+                new Span(settings.requireLong("caps.connect_timeout_us")),
+                new Span(settings.requireLong("caps.idle_close_us")),
+                new Span(settings.requireLong("rules.answer_slack_us")));
     }
 
     /**
-     * Limits on client connections, where nothing else is said: a part of the descriptors is
-     * theirs.
+     * Returns the default limits on client connections, derived from descriptors, memory and the
+     * methods' deadlines.
      */
     public Limits clientLimits() {
-        int clients = maxClientConnections();
-        int spare = Math.max(1, (int) (SPARE_PART * clients));
+        int clientDescriptors = maxClientConnections();
+        int spare = Math.max(1, (int) (SPARE_CLIENT_SHARE * clientDescriptors));
         List<Span> deadlines =
                 deployment.methods().stream().map(Method::deadline).sorted().toList();
         return Limits.of(
-                clients - spare,
+                clientDescriptors - spare,
                 memoryMb,
                 deadlines.isEmpty() ? Span.ZERO : deadlines.get(0),
                 deadlines.isEmpty() ? Span.ZERO : deadlines.get(deadlines.size() - 1));
     }
 
-    /** Descriptors for connections to hosts. */
+    /** Returns the number of descriptors for connections to hosts. */
     public int maxHostConnections() {
-        return (int) (HOSTS_PART * forConnections());
+        return (int) (HOST_CONNECTION_SHARE * connectionDescriptors());
     }
 
-    /** Descriptors for clients, those included that are on their way in or out. */
+    /**
+     * Returns the number of descriptors for connections of clients, including those that are being
+     * accepted or closed.
+     */
     public int maxClientConnections() {
-        return forConnections() - maxHostConnections();
+        return connectionDescriptors() - maxHostConnections();
     }
 
-    private int forConnections() {
-        return Math.max(2, maxSockets - OTHER_DESCRIPTORS);
+    private int connectionDescriptors() {
+        return Math.max(2, maxSockets - RESERVED_DESCRIPTORS);
     }
 
-    /** The same facts, but for how long connections to hosts may take to come up. */
-    public RouterConfig withConnectTimeout(Span time) {
+    /** Returns a copy with another time limit for connecting to hosts. */
+    public RouterConfig withConnectTimeout(Span timeout) {
         return new RouterConfig(
                 name,
                 listen,
@@ -116,7 +139,7 @@
                 initialHostList,
                 deployment,
                 names,
-                time,
+                timeout,
                 hostIdleTimeout,
                 answerSlack);
     }
@@ -128,11 +151,11 @@
         throw new ConfigException("configuration." + key + " is missing");
     }
 
-    private static long seed(PropertySource top) {
+    private static long parseSeed(PropertySource root) {
         try {
-            return Long.parseUnsignedLong(top.need("seed"), 16);
+            return Long.parseUnsignedLong(root.requireString("seed"), 16);
         } catch (NumberFormatException e) {
-            throw top.fault("seed", "is no hexadecimal number of 64 bits");
+            throw root.error("seed", "is not a 64-bit hexadecimal number");
         }
     }
 }
--- a/router/src/test/java/ironwind/adapter/AdapterTest.java
+++ b/router/src/test/java/ironwind/adapter/AdapterTest.java
@@ -10,8 +10,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
+/** Replies to batches of the simulator, and errors for malformed lines. */
 class AdapterTest {
-    private static final String START =
+    private static final String SETUP =
             "SPAWN\trouter=3\tentropy=1\tcaps.most_tries=3\textra.read_level=loose"
                     + "\tlanes.count=1\tlanes.0.effect=retryable\tlanes.0.deadline_us=1000000\tpeers_total=1\tnews=1\n"
                     + "DEFINE_LIST\tref=0\telements=1\nITEM\thost=10.0.0.1:1\tshard=4\n"
@@ -21,7 +22,7 @@
     private final StringBuilder errors = new StringBuilder();
     private int code;
 
-    private String play(String... batches) throws IOException {
+    private String run(String... batches) throws IOException {
         StringBuilder input = new StringBuilder();
         for (int i = 0; i < batches.length; i++) {
             input.append("FRAME\tclock_us=")
@@ -37,19 +38,19 @@
     }
 
     @Test
-    void eachBatchHasOneReply() throws IOException {
-        assertThat(play("", "")).isEqualTo("NEXT\nNEXT\n");
+    void everyBatchGetsOneReply() throws IOException {
+        assertThat(run("", "")).isEqualTo("NEXT\nNEXT\n");
         assertThat(code).isZero();
     }
 
     @Test
-    void aCallIsHandedOffAndItsVerdictEndsIt() throws IOException {
+    void callIsSentToHostAndVerdictEndsIt() throws IOException {
         String verdict =
                 "VERDICT\trouter=3\ttxn=00000000000000aa\tseq_no=0\thost=10.0.0.1:1"
                         + "\tcode=delivered\tfinal=1\n";
         String reply =
-                play(
-                        START + CALL,
+                run(
+                        SETUP + CALL,
                         verdict,
                         verdict + "CLIENT_LEFT\trouter=3\ttxn=00000000000000aa\n");
         assertThat(reply)
@@ -59,8 +60,8 @@
     }
 
     @Test
-    void aStoppedInstanceIsForgotten() throws IOException {
-        assertThat(play(START + CALL + "DOWN\trouter=3\n")).isEqualTo("NEXT\n");
+    void stoppedRouterSendsNothing() throws IOException {
+        assertThat(run(SETUP + CALL + "DOWN\trouter=3\n")).isEqualTo("NEXT\n");
     }
 
     @ParameterizedTest(name = "{0}: {1}")
@@ -70,15 +71,15 @@
                 "CALL router=3 lane=0 cluster=4 | field 'txn' is missing",
                 "CALL router=3 txn=aa lane=7 cluster=4 | field 'lane' is out of range: 7",
                 "CALL router=x txn=aa | field 'router' is not a whole number: x",
-                "CALL router=9 txn=aa | field 'router' names no running instance: 9",
-                "VERDICT router=3 txn=aa seq_no=0 code=maybe | field 'code' has an unknown word: maybe",
-                "ROSTER_CHANGE router=3 scope=2 ref=5 | field 'ref' names no list",
-                "DEFINE_LIST ref=0 elements=2 | field 'elements' promises 2 ITEM lines, 0 came",
-                "PING_RESULT router=3 host=h code=delivered usage=x0 | field 'usage' is no list of name:value pairs: x0",
-                "NONSENSE router=3 | field 'name' is no message of this wire: NONSENSE"
+                "CALL router=9 txn=aa | field 'router' is not a running router: 9",
+                "VERDICT router=3 txn=aa seq_no=0 code=maybe | field 'code' has an unknown value: maybe",
+                "ROSTER_CHANGE router=3 scope=2 ref=5 | field 'ref' is not a defined host list",
+                "DEFINE_LIST ref=0 elements=2 | field 'elements' announces 2 ITEM lines, but 0 followed",
+                "PING_RESULT router=3 host=h code=delivered usage=x0 | field 'usage' is not a list of name:value pairs: x0",
+                "NONSENSE router=3 | field 'name' is not a known message: NONSENSE"
             })
-    void malformedLinesAreToldByLineAndField(String line, String message) throws IOException {
-        play(START + line.replace(' ', '\t') + "\n");
+    void malformedLineIsReportedWithLineAndField(String line, String message) throws IOException {
+        run(SETUP + line.replace(' ', '\t') + "\n");
         assertThat(errors.toString()).startsWith("ironwind: line ").contains(message);
         assertThat(code).isEqualTo(1);
     }
--- a/router/src/test/java/ironwind/adapter/RouterConfigTest.java
+++ b/router/src/test/java/ironwind/adapter/RouterConfigTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The same settings through both doors. */
+/** Start facts from JSON, and the same settings from a line of the simulator. */
 class RouterConfigTest {
     private static final String LINE =
             ("SPAWN caps.cancel=true caps.connect_timeout_us=250000 "
@@ -46,18 +46,18 @@
           "kinds": ["std-4core"], "zones": ["auckland", "hamilton"], "news": null}}""";
 
     @Test
-    void bothDoorsGiveEqualFacts() {
-        RouterConfig facts = RouterConfig.read(new JsonObject(JSON));
-        assertThat(facts.deployment()).isEqualTo(DeploymentReader.read(new Line(LINE, 1)));
-        assertThat(facts.deployment().methods()).hasSize(2);
-        assertThat(facts.deployment().probesTellPosition()).isTrue();
-        assertThat(facts.names().methods().get("move").repeatWindow())
+    void jsonAndSimulatorLineGiveEqualDeployments() {
+        RouterConfig config = RouterConfig.read(new JsonObject(JSON));
+        assertThat(config.deployment()).isEqualTo(DeploymentReader.read(new Line(LINE, 1)));
+        assertThat(config.deployment().methods()).hasSize(2);
+        assertThat(config.deployment().probesTellPosition()).isTrue();
+        assertThat(config.names().methods().get("move").repeatWindow())
                 .isEqualTo(Span.ofMillis(2_000));
-        assertThat(facts.names().customers().get("chess").quotaPerSecond()).isEqualTo(102);
-        assertThat(facts.names().zones()).containsExactly("auckland", "hamilton");
-        assertThat(facts.seed()).isEqualTo(-1);
-        assertThat(facts.listen()).hasToString("127.0.0.4:5432");
-        assertThat(facts.connectTimeout()).isEqualTo(Span.ofMillis(250));
+        assertThat(config.names().customers().get("chess").quotaPerSecond()).isEqualTo(102);
+        assertThat(config.names().zones()).containsExactly("auckland", "hamilton");
+        assertThat(config.seed()).isEqualTo(-1);
+        assertThat(config.listen()).hasToString("127.0.0.4:5432");
+        assertThat(config.connectTimeout()).isEqualTo(Span.ofMillis(250));
     }
 
     @ParameterizedTest(name = "{0} -> {1}: {2}")
@@ -65,13 +65,13 @@
             delimiter = '|',
             value = {
                 "\"name\": \"n3\" | \"nome\": \"n3\" | configuration.name is missing",
-                "127.0.0.4:5432 | 127.0.0.4 | '127.0.0.4' is no address and port",
-                "ffffffffffffffff | seed | configuration.seed is no hexadecimal number of 64 bits",
+                "127.0.0.4:5432 | 127.0.0.4 | '127.0.0.4' is not an address of the form ip:port",
+                "ffffffffffffffff | seed | configuration.seed is not a 64-bit hexadecimal number",
                 "\"known\" | \"unknown\" | configuration.known is missing",
-                "retryable | risky | settings.lanes.0.effect has an unknown word: risky",
+                "retryable | risky | settings.lanes.0.effect has an unknown value: risky",
                 "250000 | \"soon\" | settings.caps.connect_timeout_us is not a whole number: soon"
             })
-    void whatIsMissingOrMalformedIsTold(String from, String to, String message) {
+    void missingOrMalformedValueIsReported(String from, String to, String message) {
         assertThatThrownBy(() -> RouterConfig.read(new JsonObject(JSON.replace(from, to))))
                 .isInstanceOf(ConfigException.class)
                 .hasMessage(message);
--- a/router/src/test/java/ironwind/boot/MainTest.java
+++ b/router/src/test/java/ironwind/boot/MainTest.java
@@ -9,6 +9,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
+/** Commands, output and exit codes of the router's jar. */
 class MainTest {
     @ParameterizedTest(name = "{0}: exit {1}")
     @CsvSource({
@@ -18,19 +19,20 @@
         "--version, 0, ironwind, ''",
         "adapter, 0, '', ''"
     })
-    void subcommandsAndExitCodes(String words, int code, String out, String err)
+    void commandsAndExitCodes(
+            String commandLine, int expectedCode, String expectedOutput, String expectedErrors)
             throws IOException {
         ByteArrayOutputStream output = new ByteArrayOutputStream();
         ByteArrayOutputStream errors = new ByteArrayOutputStream();
-        String[] args = words.isEmpty() ? new String[0] : words.split(" ");
-        int actual =
+        String[] args = commandLine.isEmpty() ? new String[0] : commandLine.split(" ");
+        int code =
                 Main.run(
                         args,
                         new ByteArrayInputStream(new byte[0]),
                         output,
                         new PrintStream(errors, true));
-        assertThat(actual).isEqualTo(code);
-        assertThat(output.toString()).startsWith(out);
-        assertThat(errors.toString()).startsWith(err);
+        assertThat(code).isEqualTo(expectedCode);
+        assertThat(output.toString()).startsWith(expectedOutput);
+        assertThat(errors.toString()).startsWith(expectedErrors);
     }
 }
--- a/router/src/test/java/ironwind/config/OperatorSettingsTest.java
+++ b/router/src/test/java/ironwind/config/OperatorSettingsTest.java
@@ -15,9 +15,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The installation's own file. */
+/** Defaults, values and consistency checks of the settings file. */
 class OperatorSettingsTest {
-    private static final Limits USUAL =
+    private static final Limits DEFAULTS =
             Limits.of(500, 192, Span.ofMillis(800), Span.ofMillis(1_500));
 
     @TempDir private Path folder;
@@ -25,13 +25,13 @@
     private OperatorSettings read(String text) throws IOException {
         Path file = folder.resolve("i.hcl");
         Files.writeString(file, text);
-        return OperatorSettings.read(file, USUAL);
+        return OperatorSettings.read(file, DEFAULTS);
     }
 
     @Test
-    void whatIsNotSaidStaysAsItWas() throws IOException {
-        assertThat(read("")).isEqualTo(new OperatorSettings(USUAL, LogFormat.PAIRS));
-        OperatorSettings said =
+    void absentSettingsKeepTheirDefaults() throws IOException {
+        assertThat(read("")).isEqualTo(new OperatorSettings(DEFAULTS, LogFormat.PAIRS));
+        OperatorSettings settings =
                 read(
                         """
                 log {
@@ -46,8 +46,8 @@
                   send_buffer    = "64KiB"
                 }
                 """);
-        assertThat(said.logFormat()).isEqualTo(LogFormat.JSON);
-        assertThat(said.clientLimits())
+        assertThat(settings.logFormat()).isEqualTo(LogFormat.JSON);
+        assertThat(settings.clientLimits())
                 .isEqualTo(
                         new Limits(
                                 18_000,
@@ -55,20 +55,20 @@
                                 0,
                                 2_000,
                                 200,
-                                USUAL.startupTime(),
-                                USUAL.messageTime(),
-                                USUAL.greetedTime(),
+                                DEFAULTS.startupTime(),
+                                DEFAULTS.messageTime(),
+                                DEFAULTS.greetedTime(),
                                 Span.ofMillis(12 * 3_600_000),
-                                USUAL.crowdedTime(),
+                                DEFAULTS.crowdedTime(),
                                 0.5,
-                                USUAL.memory(),
-                                USUAL.owedEach(),
-                                USUAL.owedAll(),
-                                USUAL.slowReaderTime(),
-                                USUAL.openRpcs(),
-                                USUAL.turnTime(),
-                                USUAL.crowdTime(),
-                                USUAL.activeTime(),
+                                DEFAULTS.memory(),
+                                DEFAULTS.owedEach(),
+                                DEFAULTS.owedAll(),
+                                DEFAULTS.slowReaderTime(),
+                                DEFAULTS.openRpcs(),
+                                DEFAULTS.turnTime(),
+                                DEFAULTS.crowdTime(),
+                                DEFAULTS.activeTime(),
                                 Span.ofMillis(60_000),
                                 64 << 10));
     }
@@ -82,20 +82,20 @@
                 "memory = \"1MiB\";owed_all = \"1MiB\" | 3: idle.owed_all: is not less than memory",
                 "owed_each = \"1GiB\" | 2: idle.owed_each: is more than owed_all",
                 "served_time = \"1s\";crowded_time = \"2s\" | 3: idle.crowded_time: is longer than served_time",
-                "new_at_once = 5 | 2: idle.new_at_once: says nothing without new_per_second"
+                "new_at_once = 5 | 2: idle.new_at_once: has no effect without new_per_second"
             })
-    void whatDoesNotGoTogetherIsComplainedOf(String text, String told) {
+    void inconsistentSettingsAreReported(String text, String message) {
         HclFault fault =
                 catchThrowableOfType(
                         HclFault.class, () -> read("idle {\n" + text.replace(';', '\n') + "\n}"));
         assertThat(fault.lines()).hasSize(1);
-        assertThat(fault.lines().get(0)).contains("i.hcl:" + told);
+        assertThat(fault.lines().get(0)).contains("i.hcl:" + message);
     }
 
-    /** Guards against limits by default that the program's own checks would not let pass. */
+    /** Guards against default limits that the consistency checks would reject. */
     @ParameterizedTest
     @CsvSource({"32, 250, 250", "192, 800, 1500", "2048, 1, 60000"})
-    void theDefaultsPassTheChecks(long memory, long shortest, long longest) throws IOException {
+    void defaultsPassTheChecks(long memory, long shortest, long longest) throws IOException {
         Limits limits = Limits.of(100, memory, Span.ofMillis(shortest), Span.ofMillis(longest));
         Path file = folder.resolve("empty.hcl");
         Files.writeString(file, "idle {\n}\n");
