--- a/router/src/main/java/ironwind/config/LimitsReader.java
+++ b/router/src/main/java/ironwind/config/LimitsReader.java
@@ -4,64 +4,77 @@
 import ironwind.idle.Limits;
 import ironwind.model.Span;
 
-/** The block {@code idle} of {@code deploy/ironwind.hcl}: the limits on client connections. */
+/** Reads the limits on client connections from the block {@code idle} of the settings file. */
 final class LimitsReader {
-    private static final int MOST_CONNECTIONS = 1_000_000;
-    private static final int MOST_A_SECOND = 1_000_000;
-    private static final Span SHORTEST = Span.ofMillis(10);
-    private static final Span LONGEST = Span.ofMillis(30L * 24 * 3_600_000);
-    private static final long LEAST_BYTES = 256 << 10;
-    private static final long MOST_BYTES = 1L << 40;
+    private static final int MAX_CONNECTIONS = 1_000_000;
+    private static final int MAX_PER_SECOND = 1_000_000;
+    private static final Span MIN_TIMEOUT = Span.ofMillis(10);
+    private static final Span MAX_TIMEOUT = Span.ofMillis(30L * 24 * 3_600_000);
+    private static final long MIN_MEMORY = 256 << 10;
+    private static final long MAX_BYTES = 1L << 40;
 
     private LimitsReader() {}
 
-    static Limits read(Section idle, Limits otherwise) {
-        int connections =
-                idle.whole("connections", 1, MOST_CONNECTIONS, otherwise.maxConnections());
-        int newPerSecond = idle.whole("new_per_second", 0, MOST_A_SECOND, otherwise.acceptRate());
+    static Limits read(Section idle, Limits defaults) {
+        int connections = idle.whole("connections", 1, MAX_CONNECTIONS, defaults.maxConnections());
+        int newPerSecond = idle.whole("new_per_second", 0, MAX_PER_SECOND, defaults.acceptRate());
         Limits limits =
                 new Limits(
                         connections,
-                        idle.whole("per_address", 0, MOST_CONNECTIONS, otherwise.maxPerAddress()),
-                        idle.whole("per_customer", 0, MOST_CONNECTIONS, otherwise.maxPerCustomer()),
+                        idle.whole("per_address", 0, MAX_CONNECTIONS, defaults.maxPerAddress()),
+                        idle.whole("per_customer", 0, MAX_CONNECTIONS, defaults.maxPerCustomer()),
                         newPerSecond,
                         idle.whole(
                                 "new_at_once",
                                 0,
-                                MOST_A_SECOND,
+                                MAX_PER_SECOND,
                                 newPerSecond == 0
-                                        ? otherwise.acceptBurst()
+                                        ? defaults.acceptBurst()
                                         : Math.max(1, newPerSecond / 10)),
-                        idle.span("startup_time", SHORTEST, LONGEST, otherwise.startupTimeout()),
-                        idle.span("message_time", SHORTEST, LONGEST, otherwise.messageTimeout()),
+                        idle.span(
+                                "startup_time",
+                                MIN_TIMEOUT,
+                                MAX_TIMEOUT,
+                                defaults.startupTimeout()),
+                        idle.span(
+                                "message_time",
+                                MIN_TIMEOUT,
+                                MAX_TIMEOUT,
+                                defaults.messageTimeout()),
                         idle.span(
                                 "greeted_time",
                                 Span.ZERO,
-                                LONGEST,
-                                otherwise.firstRequestTimeout()),
-                        idle.span("served_time", Span.ZERO, LONGEST, otherwise.idleTimeout()),
+                                MAX_TIMEOUT,
+                                defaults.firstRequestTimeout()),
+                        idle.span("served_time", Span.ZERO, MAX_TIMEOUT, defaults.idleTimeout()),
                         idle.span(
-                                "crowded_time", Span.ZERO, LONGEST, otherwise.crowdedIdleTimeout()),
-                        idle.part("crowded_part", otherwise.crowdedFraction()),
-                        idle.bytes("memory", LEAST_BYTES, MOST_BYTES, otherwise.memoryBytes()),
-                        idle.bytes("owed_each", 1, MOST_BYTES, otherwise.maxUnsentPerClient()),
-                        idle.bytes("owed_all", 1, MOST_BYTES, otherwise.maxUnsentTotal()),
+                                "crowded_time",
+                                Span.ZERO,
+                                MAX_TIMEOUT,
+                                defaults.crowdedIdleTimeout()),
+                        idle.part("crowded_part", defaults.crowdedFraction()),
+                        idle.bytes("memory", MIN_MEMORY, MAX_BYTES, defaults.memoryBytes()),
+                        idle.bytes("owed_each", 1, MAX_BYTES, defaults.maxUnsentPerClient()),
+                        idle.bytes("owed_all", 1, MAX_BYTES, defaults.maxUnsentTotal()),
                         idle.span(
                                 "slow_reader_time",
-                                SHORTEST,
-                                LONGEST,
-                                otherwise.slowReaderTimeout()),
-                        idle.whole("open_rpcs", 1, MOST_CONNECTIONS, otherwise.openRpcThreshold()),
+                                MIN_TIMEOUT,
+                                MAX_TIMEOUT,
+                                defaults.slowReaderTimeout()),
+                        idle.whole("open_rpcs", 1, MAX_CONNECTIONS, defaults.openRpcThreshold()),
                         idle.span(
                                 "turn_time",
                                 new Span(100),
                                 Span.ofMillis(100),
-                                otherwise.turnDuration()),
+                                defaults.turnDuration()),
                         idle.span(
-                                "crowd_time", Span.ofMillis(1), LONGEST, otherwise.maxQueueTime()),
-                        idle.span("active_time", Span.ZERO, LONGEST, otherwise.activeWindow()),
-                        idle.span("keepalive", Span.ZERO, LONGEST, otherwise.keepalive()),
-                        idle.bytes("send_buffer", 0, 1 << 30, otherwise.sendBufferBytes()));
+                                "crowd_time",
+                                Span.ofMillis(1),
+                                MAX_TIMEOUT,
+                                defaults.maxQueueTime()),
+                        idle.span("active_time", Span.ZERO, MAX_TIMEOUT, defaults.activeWindow()),
+                        idle.span("keepalive", Span.ZERO, MAX_TIMEOUT, defaults.keepalive()),
+                        idle.bytes("send_buffer", 0, 1 << 30, defaults.sendBufferBytes()));
         idle.require(
                 limits.maxPerAddress() <= connections,
                 "is more than connections",
@@ -74,7 +87,7 @@
                 "connections");
         idle.require(
                 limits.maxUnsentTotal() < limits.memoryBytes(),
-                "is not less than memory, so that slow readers could leave " + "nothing for others",
+                "is not less than memory: slow readers could take all of it",
                 "owed_all",
                 "memory");
         idle.require(
@@ -86,12 +99,12 @@
                 limits.crowdedIdleTimeout().us() == 0
                         || limits.idleTimeout().us() == 0
                         || !limits.crowdedIdleTimeout().longerThan(limits.idleTimeout()),
-                "is longer than served_time, though it holds when room is short",
+                "is longer than served_time, although it applies when connections run short",
                 "crowded_time",
                 "served_time");
         idle.require(
                 newPerSecond > 0 || !idle.has("new_at_once"),
-                "says nothing without new_per_second",
+                "has no effect without new_per_second",
                 "new_at_once");
         idle.done();
         return limits;
