--- a/router/src/main/java/ironwind/idle/CloseReason.java
+++ b/router/src/main/java/ironwind/idle/CloseReason.java
@@ -1,32 +1,33 @@
 package ironwind.idle;
 
 /**
- * Why a connection is ended by us, or not let in. The counters {@code idle_*} and the log bear
- * these names.
+ * Why the router closes a client connection or refuses it. {@code SHOW idle} prints the constants'
+ * names in lower case with the prefix {@code ended_}, and the log prints them unchanged.
  */
 public enum CloseReason {
-    /** Room ended, and of all that carry nothing it was the least known. */
+    /** All connections were taken, and this one was evicted for a new one. */
     GAVE_WAY("53300", "the router is full of connections"),
-    /** Room ended, and everyone carries something. */
+    /** Refused: all connections are taken and none can be evicted. */
     ALL_BUSY("53300", "the router is full of connections that are all in use"),
-    /** Its address has as many connections as one may have. */
+    /** Refused: its address has reached its limit of connections. */
     ADDRESS_FULL("53300", "this address has as many connections as it may have"),
-    /** Its customer has as many connections as one may have, and this was the one idle longest. */
+    /** Its customer was over its limit of connections, and this one was idle for longest. */
     CUSTOMER_FULL("53300", "this customer has as many connections as it may have"),
-    /** The rest of a start-up or of a message did not come in time. */
+    /** A start-up or another message did not arrive completely within its timeout. */
     TOO_SLOW("57P05", "waited too long for the rest of a message"),
-    /** It has carried nothing for as long as its standing allows. */
+    /** It made no request within the timeout of its state. */
     IDLE_TOO_LONG("57P05", "carried nothing for too long"),
-    /** What it was owed was not taken in time. */
+    /** Its socket accepted none of its unsent answers within the timeout. */
     SLOW_READER("57P05", "did not read its answers in time"),
-    /** All clients together are owed too much, and this one has taken nothing for longest. */
+    /** Unsent answers are over their total limit, and its socket accepted none for longest. */
     OWED_TOO_MUCH("53200", "too much is owed to clients that do not read"),
-    /** No memory is left for the message that it has begun. */
+    /** No memory is left for the message of which a part has arrived. */
     NO_MEMORY("53200", "no memory is left for this message");
 
-    /** SQLSTATE of the error that tells of it, where it can still be told. */
+    /** SQLSTATE of the fatal error that the client gets, if one can still be sent. */
     public final String sqlState;
 
+    /** Message of that error. */
     public final String message;
 
     CloseReason(String sqlState, String message) {
--- a/router/src/main/java/ironwind/idle/ConnectionManager.java
+++ b/router/src/main/java/ironwind/idle/ConnectionManager.java
@@ -7,102 +7,114 @@
 import java.util.Map;
 
 /**
- * Who is let in, who gives way when room ends, and whose time is out. Connections stand in one
- * chain a standing, in the order in which they came to it, so that the first of a chain is both the
- * next whose time is out and the next to give way: no step walks over connections, and none has a
- * timer.
+ * Decides which client connections are admitted, which are evicted when the router is full, and
+ * which have reached a timeout. Connections are kept in one FIFO queue per state, so that the first
+ * of a queue is both the next to reach the state's timeout and the next to evict: no operation
+ * iterates over connections, and no connection has a timer.
+ *
+ * <p>Times are microseconds of {@link MonotonicTime}.
  */
 public final class ConnectionManager {
-    /** The order in which the chains give way; those that are busy never do. */
-    private static final ConnectionState[] GIVING_WAY = {
+    /** The states whose connections may be evicted, in the order of eviction. */
+    private static final ConnectionState[] EVICTION_ORDER = {
         ConnectionState.CLOSING,
         ConnectionState.STARTUP,
         ConnectionState.UNUSED,
         ConnectionState.IDLE
     };
 
-    /** Time to read a fatal error: what is closed with input unread takes back what was written. */
-    private static final Span FAREWELL = Span.ofMillis(300);
+    /**
+     * Time for the client to read a fatal error before its socket is closed. Closing a socket with
+     * unread input resets the connection and discards what was written.
+     */
+    private static final Span CLOSE_GRACE = Span.ofMillis(300);
 
-    private static final double MILLION = 1e6;
+    private static final double MICROS_PER_SECOND = 1e6;
 
     private final Limits limits;
-    private final Map<ConnectionState, StateQueue> chains = new EnumMap<>(ConnectionState.class);
-    private final Map<CloseReason, long[]> ended = new EnumMap<>(CloseReason.class);
+    private final Map<ConnectionState, StateQueue> queues = new EnumMap<>(ConnectionState.class);
+    private final Map<CloseReason, long[]> closed = new EnumMap<>(CloseReason.class);
     private final Map<Object, ConnectionUsage> addresses = new HashMap<>();
     private final Map<Object, ConnectionUsage> customers = new HashMap<>();
-    private int inside;
-    private final Bucket newcomers;
-    private long filledAt;
+    private int connectionCount;
+    private final Bucket acceptTokens;
+    private long refilledAt;
 
+    /** Creates a manager without connections. */
     public ConnectionManager(Limits limits) {
         this.limits = limits;
-        this.newcomers = new Bucket(limits.acceptBurst());
-        for (ConnectionState standing : ConnectionState.values()) {
-            chains.put(standing, new StateQueue(standing));
+        this.acceptTokens = new Bucket(limits.acceptBurst());
+        for (ConnectionState state : ConnectionState.values()) {
+            queues.put(state, new StateQueue(state));
         }
         for (CloseReason reason : CloseReason.values()) {
-            ended.put(reason, new long[1]);
+            closed.put(reason, new long[1]);
         }
     }
 
-    // ---- the door
+    // ---- admission and eviction
 
-    /** Whether one more may be taken from the system's queue now. */
+    /** Returns whether the accept rate allows another connection to be accepted now. */
     public boolean mayAccept(long now) {
-        fill(now);
-        return limits.acceptRate() == 0 || !newcomers.empty();
+        refill(now);
+        return limits.acceptRate() == 0 || !acceptTokens.empty();
     }
 
-    /** How long until then; at least a millisecond. */
+    /** Returns how long until the accept rate allows another connection, at least 1 ms. */
     public Span nextAcceptIn(long now) {
-        fill(now);
-        double seconds = newcomers.missing() / Math.max(1, limits.acceptRate());
-        return new Span((long) (seconds * MILLION)).longer(Span.ofMillis(1));
+        refill(now);
+        double seconds = acceptTokens.missing() / Math.max(1, limits.acceptRate());
+        return new Span((long) (seconds * MICROS_PER_SECOND)).longer(Span.ofMillis(1));
     }
 
-    private void fill(long now) {
-        double gained = (now - filledAt) / MILLION * limits.acceptRate();
-        newcomers.fill(gained, Math.max(1, limits.acceptBurst()));
-        filledAt = now;
+    private void refill(long now) {
+        double gained = (now - refilledAt) / MICROS_PER_SECOND * limits.acceptRate();
+        acceptTokens.fill(gained, Math.max(1, limits.acceptBurst()));
+        refilledAt = now;
     }
 
-    /** Why one from this address is not let in; null where it may come in. Counts a refusal. */
+    /**
+     * Returns why a new connection from this address is to be refused, or null if it is admitted. A
+     * refusal is counted.
+     */
     public CloseReason refusalReason(Object address) {
-        ConnectionUsage share = addresses.get(address);
+        ConnectionUsage usage = addresses.get(address);
         if (limits.maxPerAddress() > 0
-                && share != null
-                && share.connections >= limits.maxPerAddress()) {
+                && usage != null
+                && usage.connections >= limits.maxPerAddress()) {
             return recordClose(CloseReason.ADDRESS_FULL);
         }
-        if (inside >= limits.maxConnections() && evictionCandidate() == null) {
+        if (connectionCount >= limits.maxConnections() && evictionCandidate() == null) {
             return recordClose(CloseReason.ALL_BUSY);
         }
         return null;
     }
 
-    /** Lets one in. */
-    public void add(TrackedConnection peer, Object address, long now) {
-        fill(now);
-        newcomers.take();
-        peer.address = addresses.computeIfAbsent(address, ConnectionUsage::new);
-        peer.address.connections++;
-        inside++;
-        chain(ConnectionState.STARTUP).enter(peer, now);
+    /** Adds an accepted connection in state {@link ConnectionState#STARTUP}. */
+    public void add(TrackedConnection connection, Object address, long now) {
+        refill(now);
+        acceptTokens.take();
+        connection.addressUsage = addresses.computeIfAbsent(address, ConnectionUsage::new);
+        connection.addressUsage.connections++;
+        connectionCount++;
+        queue(ConnectionState.STARTUP).enter(connection, now);
     }
 
-    /** Who has to give way before one more comes in; null where nobody has to or can. */
+    /**
+     * Returns the connection to evict before another one is added, or null if the router is not
+     * full or no connection can be evicted.
+     */
     public TrackedConnection evictionCandidateIfFull() {
-        return inside >= limits.maxConnections() ? evictionCandidate() : null;
+        return connectionCount >= limits.maxConnections() ? evictionCandidate() : null;
     }
 
     /**
-     * Who may be let go between two requests, least known first; null where nobody is left that
-     * carries nothing.
+     * Returns the first connection in eviction order, or null if every connection has a message or
+     * an answer in progress.
      */
     public TrackedConnection evictionCandidate() {
-        for (ConnectionState standing : GIVING_WAY) {
-            TrackedConnection first = chain(standing).first();
+        for (ConnectionState state : EVICTION_ORDER) {
+            TrackedConnection first = queue(state).first();
             if (first != null) {
                 return first;
             }
@@ -110,151 +122,166 @@
         return null;
     }
 
-    // ---- what becomes of those inside
+    // ---- state changes
 
-    /** It comes to a standing, or to the same anew; one that has left stays away. */
-    public void setState(TrackedConnection peer, ConnectionState standing, long now) {
-        if (peer.chain == null) {
+    /**
+     * Moves a connection to the end of the queue of a state, even if it is in that state already.
+     * Does nothing after the connection was removed.
+     */
+    public void setState(TrackedConnection connection, ConnectionState state, long now) {
+        if (connection.stateQueue == null) {
             return;
         }
-        peer.chain.leave(peer);
-        chain(standing).enter(peer, now);
-        leaveIdle(peer);
-        if (peer.customer != null && standing == ConnectionState.IDLE) {
-            peer.amongIdle = new ConnectionQueue.Node(peer);
-            peer.customer.idle.append(peer.amongIdle);
+        connection.stateQueue.leave(connection);
+        queue(state).enter(connection, now);
+        leaveCustomerIdle(connection);
+        if (connection.customerUsage != null && state == ConnectionState.IDLE) {
+            connection.idleNode = new ConnectionQueue.Node(connection);
+            connection.customerUsage.idle.append(connection.idleNode);
         }
     }
 
     /**
-     * It has had an answer, on behalf of a customer (null where there are none). Who has to give
-     * way as that customer has too many; null where nobody has to.
+     * Records that a connection had an answer on behalf of a customer. Does nothing after the
+     * connection was removed.
+     *
+     * @param customer null if the deployment has no customers
+     * @return the customer's connection that has been idle for longest if the customer has more
+     *     connections than its limit; null if it does not or none of them is idle
      */
-    public TrackedConnection recordAnswer(TrackedConnection peer, Object customer, long now) {
-        if (peer.chain == null) {
+    public TrackedConnection recordAnswer(TrackedConnection connection, Object customer, long now) {
+        if (connection.stateQueue == null) {
             return null;
         }
-        peer.servedAt = now;
-        ConnectionUsage share =
+        connection.lastAnsweredAt = now;
+        ConnectionUsage usage =
                 customer == null || limits.maxPerCustomer() == 0
                         ? null
                         : customers.computeIfAbsent(customer, ConnectionUsage::new);
-        if (peer.customer != share) {
-            leaveCustomer(peer);
-            peer.customer = share;
-            if (share != null) {
-                share.connections++;
+        if (connection.customerUsage != usage) {
+            leaveCustomer(connection);
+            connection.customerUsage = usage;
+            if (usage != null) {
+                usage.connections++;
             }
         }
-        boolean over = share != null && share.connections > limits.maxPerCustomer();
-        return over ? share.idle.first() : null;
+        boolean overLimit = usage != null && usage.connections > limits.maxPerCustomer();
+        return overLimit ? usage.idle.first() : null;
     }
 
-    private void leaveIdle(TrackedConnection peer) {
-        if (peer.amongIdle != null) {
-            peer.customer.idle.remove(peer.amongIdle);
-            peer.amongIdle = null;
+    private void leaveCustomerIdle(TrackedConnection connection) {
+        if (connection.idleNode != null) {
+            connection.customerUsage.idle.remove(connection.idleNode);
+            connection.idleNode = null;
         }
     }
 
-    private void leaveCustomer(TrackedConnection peer) {
-        leaveIdle(peer);
-        ConnectionUsage share = peer.customer;
-        if (share != null) {
-            share.connections--;
-            if (share.connections == 0) {
-                customers.remove(share.key);
+    private void leaveCustomer(TrackedConnection connection) {
+        leaveCustomerIdle(connection);
+        ConnectionUsage usage = connection.customerUsage;
+        if (usage != null) {
+            usage.connections--;
+            if (usage.connections == 0) {
+                customers.remove(usage.key);
             }
-            peer.customer = null;
+            connection.customerUsage = null;
         }
     }
 
-    /** It is gone; a second time does nothing. */
-    public void remove(TrackedConnection peer) {
-        if (peer.chain == null) {
+    /** Removes a closed connection. Does nothing if it was removed already. */
+    public void remove(TrackedConnection connection) {
+        if (connection.stateQueue == null) {
             return;
         }
-        peer.chain.leave(peer);
-        leaveCustomer(peer);
-        peer.address.connections--;
-        if (peer.address.connections == 0) {
-            addresses.remove(peer.address.key);
+        connection.stateQueue.leave(connection);
+        leaveCustomer(connection);
+        connection.addressUsage.connections--;
+        if (connection.addressUsage.connections == 0) {
+            addresses.remove(connection.addressUsage.key);
         }
-        peer.address = null;
-        inside--;
+        connection.addressUsage = null;
+        connectionCount--;
     }
 
+    // ---- timeouts
+
     /**
-     * One whose time is out, for {@link #expiryReason}; null where none is. It is told again until
-     * it moves or leaves.
+     * Returns a connection that has reached the timeout of its state, or null if there is none. The
+     * same connection may be returned until it changes its state or is removed.
      */
     public TrackedConnection nextExpired(long now) {
-        for (StateQueue chain : chains.values()) {
-            TrackedConnection first = chain.first();
-            Span patience = patience(chain.standing);
-            if (first != null && patience.us() > 0 && now - first.since > patience.us()) {
+        for (StateQueue queue : queues.values()) {
+            TrackedConnection first = queue.first();
+            Span timeout = timeout(queue.state);
+            if (first != null && timeout.us() > 0 && now - first.stateSince > timeout.us()) {
                 return first;
             }
         }
         return null;
     }
 
-    /** Why one that is due is to end. */
-    public CloseReason expiryReason(TrackedConnection peer) {
-        ConnectionState standing = peer.state();
-        return standing == ConnectionState.STARTUP || standing == ConnectionState.RECEIVING
+    /** Returns why a connection that {@link #nextExpired} returned is to be closed. */
+    public CloseReason expiryReason(TrackedConnection connection) {
+        ConnectionState state = connection.state();
+        return state == ConnectionState.STARTUP || state == ConnectionState.RECEIVING
                 ? CloseReason.TOO_SLOW
                 : CloseReason.IDLE_TOO_LONG;
     }
 
-    private Span patience(ConnectionState standing) {
-        return switch (standing) {
-            case CLOSING -> FAREWELL;
+    private Span timeout(ConnectionState state) {
+        return switch (state) {
+            case CLOSING -> CLOSE_GRACE;
             case STARTUP -> limits.startupTimeout();
             case RECEIVING -> limits.messageTimeout();
             case UNUSED -> limits.firstRequestTimeout();
             case IDLE ->
-                    inside > limits.crowdedFraction() * limits.maxConnections()
+                    connectionCount > limits.crowdedFraction() * limits.maxConnections()
                             ? limits.crowdedIdleTimeout()
                             : limits.idleTimeout();
             case BUSY -> Span.ZERO;
         };
     }
 
-    // ---- figures
+    // ---- statistics
 
+    /** Counts a connection that is closed or refused, and returns the reason. */
     public CloseReason recordClose(CloseReason reason) {
-        ended.get(reason)[0]++;
+        closed.get(reason)[0]++;
         return reason;
     }
 
+    /** Returns how many connections were closed or refused for a reason. */
     public long closedCount(CloseReason reason) {
-        return ended.get(reason)[0];
+        return closed.get(reason)[0];
     }
 
-    public int countInState(ConnectionState standing) {
-        return chain(standing).size();
+    /** Returns the number of connections in a state. */
+    public int countInState(ConnectionState state) {
+        return queue(state).size();
     }
 
-    /** How long the one that has stood so for longest has; zero where none does. */
-    public Span longestInState(ConnectionState standing, long now) {
-        TrackedConnection first = chain(standing).first();
-        return first == null ? Span.ZERO : new Span(Math.max(0, now - first.since));
+    /** Returns how long the longest-standing connection has been in a state; zero if none is. */
+    public Span longestInState(ConnectionState state, long now) {
+        TrackedConnection first = queue(state).first();
+        return first == null ? Span.ZERO : new Span(Math.max(0, now - first.stateSince));
     }
 
+    /** Returns the number of connections. */
     public int connectionCount() {
-        return inside;
+        return connectionCount;
     }
 
+    /** Returns the number of addresses that have a connection. */
     public int addressCount() {
         return addresses.size();
     }
 
+    /** Returns the limits that apply. */
     public Limits limits() {
         return limits;
     }
 
-    private StateQueue chain(ConnectionState standing) {
-        return chains.get(standing);
+    private StateQueue queue(ConnectionState state) {
+        return queues.get(state);
     }
 }
--- a/router/src/main/java/ironwind/idle/ConnectionQueue.java
+++ b/router/src/main/java/ironwind/idle/ConnectionQueue.java
@@ -1,58 +1,58 @@
 package ironwind.idle;
 
 /**
- * Connections in the order in which they came to it, linked through their places: every step costs
- * the same.
+ * FIFO queue of connections, linked through nodes that the connections hold, so that appending and
+ * removing take constant time.
  */
 class ConnectionQueue {
     private Node first;
     private Node last;
     private int size;
 
-    /** Where one connection stands in one line. */
+    /** Position of one connection in one queue. */
     static final class Node {
-        final TrackedConnection peer;
-        private Node before;
-        private Node after;
+        final TrackedConnection connection;
+        private Node previous;
+        private Node next;
 
-        Node(TrackedConnection peer) {
-            this.peer = peer;
+        Node(TrackedConnection connection) {
+            this.connection = connection;
         }
     }
 
-    /** Who came first; null where nobody stands here. */
+    /** Returns the connection that was appended first, or null if the queue is empty. */
     final TrackedConnection first() {
-        return first == null ? null : first.peer;
+        return first == null ? null : first.connection;
     }
 
     final int size() {
         return size;
     }
 
-    final void append(Node place) {
-        place.before = last;
+    final void append(Node node) {
+        node.previous = last;
         if (last == null) {
-            first = place;
+            first = node;
         } else {
-            last.after = place;
+            last.next = node;
         }
-        last = place;
+        last = node;
         size++;
     }
 
-    final void remove(Node place) {
-        if (place.before == null) {
-            first = place.after;
+    final void remove(Node node) {
+        if (node.previous == null) {
+            first = node.next;
         } else {
-            place.before.after = place.after;
+            node.previous.next = node.next;
         }
-        if (place.after == null) {
-            last = place.before;
+        if (node.next == null) {
+            last = node.previous;
         } else {
-            place.after.before = place.before;
+            node.next.previous = node.previous;
         }
-        place.before = null;
-        place.after = null;
+        node.previous = null;
+        node.next = null;
         size--;
     }
 }
--- a/router/src/main/java/ironwind/idle/ConnectionUsage.java
+++ b/router/src/main/java/ironwind/idle/ConnectionUsage.java
@@ -1,12 +1,13 @@
 package ironwind.idle;
 
-/**
- * What one address or one customer has of the room: a count, and of a customer the idle ones,
- * longest idle first.
- */
+/** The connections of one address or one customer, counted against its limit. */
 final class ConnectionUsage {
+    /** The address or the customer. */
     final Object key;
+
+    /** Idle connections of a customer, longest idle first; empty for an address. */
     final ConnectionQueue idle = new ConnectionQueue();
+
     int connections;
 
     ConnectionUsage(Object key) {
--- a/router/src/main/java/ironwind/idle/MemoryBudget.java
+++ b/router/src/main/java/ironwind/idle/MemoryBudget.java
@@ -3,9 +3,9 @@
 import java.util.EnumMap;
 import java.util.Map;
 
-/** Memory that is lent while data is there, in bytes, told apart by what it is lent for. */
+/** Accounts for the memory that data in transit occupies, in bytes per use, against one limit. */
 public final class MemoryBudget {
-    /** What memory is lent for. */
+    /** What memory is reserved for. */
     public enum Use {
         /** Messages from clients that have arrived in part. */
         PARTIAL_REQUESTS("incoming"),
@@ -30,26 +30,34 @@
         }
     }
 
-    /** Above this part of all, what is new is no longer taken, so that what has begun can end. */
-    private static final double NEW_PART = 0.75;
+    /**
+     * Fraction of the limit above which new work is refused, so that work in progress can finish.
+     */
+    private static final double NEW_WORK_FRACTION = 0.75;
 
-    private final long all;
-    private final Map<Use, long[]> lent = new EnumMap<>(Use.class);
+    private final long limit;
+    private final Map<Use, long[]> reserved = new EnumMap<>(Use.class);
     private final Map<Use, long[]> refused = new EnumMap<>(Use.class);
-    private long sum;
-    private long highest;
+    private long totalReserved;
+    private long peakReserved;
 
+    /** Creates a budget of the given number of bytes. */
     public MemoryBudget(long bytes) {
-        this.all = bytes;
+        this.limit = bytes;
         for (Use use : Use.values()) {
-            lent.put(use, new long[1]);
+            reserved.put(use, new long[1]);
             refused.put(use, new long[1]);
         }
     }
 
-    /** Lends, where so much is left. */
+    /**
+     * Reserves memory if the limit allows it and counts a refusal otherwise. A negative number of
+     * bytes releases memory and always succeeds.
+     *
+     * @return whether the memory is reserved
+     */
     public boolean tryReserve(Use use, long bytes) {
-        if (bytes > 0 && sum + bytes > all) {
+        if (bytes > 0 && totalReserved + bytes > limit) {
             refused.get(use)[0]++;
             return false;
         }
@@ -58,45 +66,58 @@
     }
 
     /**
-     * Lends what cannot be refused, such as an answer that is owed; a negative number gives back.
+     * Reserves memory even beyond the limit, for data that cannot be refused, such as an unsent
+     * answer. A negative number of bytes releases memory.
+     *
+     * @throws IllegalStateException if more is released than is reserved for that use
      */
     public void forceReserve(Use use, long bytes) {
-        long[] of = lent.get(use);
-        if (of[0] + bytes < 0) {
-            throw new IllegalStateException("more is given back than was lent for " + use);
+        long[] current = reserved.get(use);
+        if (current[0] + bytes < 0) {
+            throw new IllegalStateException(
+                    "cannot release " + -bytes + " bytes of " + use + ": reserved " + current[0]);
         }
-        of[0] += bytes;
-        sum += bytes;
-        highest = Math.max(highest, sum);
+        current[0] += bytes;
+        totalReserved += bytes;
+        peakReserved = Math.max(peakReserved, totalReserved);
     }
 
-    /** Gives back. */
+    /**
+     * Releases memory.
+     *
+     * @throws IllegalStateException if more is released than is reserved for that use
+     */
     public void release(Use use, long bytes) {
         forceReserve(use, -bytes);
     }
 
-    /** Whether so much may be lent for something that has not begun. */
+    /** Returns whether new work of this size leaves enough memory for the work in progress. */
     public boolean hasRoomForNew(long bytes) {
-        return sum + bytes <= NEW_PART * all;
+        return totalReserved + bytes <= NEW_WORK_FRACTION * limit;
     }
 
+    /** Returns the bytes that are reserved for a use. */
     public long reserved(Use use) {
-        return lent.get(use)[0];
+        return reserved.get(use)[0];
     }
 
+    /** Returns how often {@link #tryReserve} has refused memory for a use. */
     public long refusedCount(Use use) {
         return refused.get(use)[0];
     }
 
+    /** Returns the bytes that are reserved for all uses together. */
     public long totalReserved() {
-        return sum;
+        return totalReserved;
     }
 
+    /** Returns the highest value that {@link #totalReserved} has had. */
     public long peakReserved() {
-        return highest;
+        return peakReserved;
     }
 
+    /** Returns the size of the budget in bytes. */
     public long limit() {
-        return all;
+        return limit;
     }
 }
--- a/router/src/main/java/ironwind/idle/MonotonicTime.java
+++ b/router/src/main/java/ironwind/idle/MonotonicTime.java
@@ -3,40 +3,48 @@
 import ironwind.model.Span;
 
 /**
- * The time by which connections are judged, in microseconds: it never goes back, and it passes only
- * while the router runs. A step of the clock or a pause of the process (a stopped machine, a long
- * collection) would otherwise make all connections look as if they had been silent for as long,
- * though what they said waits to be read.
+ * Time that connection timeouts are measured in, in microseconds. It never goes back and advances
+ * only while the router runs. Without this, a step of the clock or a pause of the process (a
+ * suspended machine, a long garbage collection) would make all connections look as if they had been
+ * silent for that long, although their input is waiting to be read.
  */
 public final class MonotonicTime {
-    private final long mostUs;
-    private long lastRead;
+    private final long maxStepUs;
+    private long lastReadingUs;
     private long now;
-    private long leftOutUs;
+    private long skippedUs;
     private boolean started;
 
-    /** One step is no longer than this, however long it took by the clock. */
-    public MonotonicTime(Span most) {
-        this.mostUs = most.us();
+    /**
+     * Creates a time that starts at zero.
+     *
+     * @param maxStep the most by which one reading advances the time
+     */
+    public MonotonicTime(Span maxStep) {
+        this.maxStepUs = maxStep.us();
     }
 
     /**
-     * Takes a reading of a clock, in microseconds from anywhere, and tells the time since the
-     * first.
+     * Advances to a reading of a clock.
+     *
+     * @param readingUs microseconds since any fixed origin
+     * @return microseconds since the first reading, without the skipped ones
      */
     public long advance(long readingUs) {
         if (started) {
-            long passed = Math.max(0, readingUs - lastRead);
-            now += Math.min(passed, mostUs);
-            leftOutUs += Math.max(0, passed - mostUs);
+            long elapsed = Math.max(0, readingUs - lastReadingUs);
+            now += Math.min(elapsed, maxStepUs);
+            skippedUs += Math.max(0, elapsed - maxStepUs);
         }
         started = true;
-        lastRead = readingUs;
+        lastReadingUs = readingUs;
         return now;
     }
 
-    /** Time that passed while the router did not run. */
+    /**
+     * Returns how much time was skipped because single steps were longer than the longest allowed.
+     */
     public Span skipped() {
-        return new Span(leftOutUs);
+        return new Span(skippedUs);
     }
 }
--- a/router/src/main/java/ironwind/idle/ReadScheduler.java
+++ b/router/src/main/java/ironwind/idle/ReadScheduler.java
@@ -3,138 +3,157 @@
 import ironwind.model.Span;
 
 /**
- * Who is read when many speak at once. Those that were answered lately are read as they come. The
- * others are a crowd: they are read for one turn's time, then wait in the order in which they came,
- * and those who are active are looked at between two turns. While many RPCs are open the crowd
- * waits. What has waited for so long that it can hardly be served in its time is read to be pushed
- * back, as is what finds no memory: an answer takes none that is kept.
+ * Schedules reads when many clients send at once. Active connections, which had an answer lately,
+ * are read as soon as they are readable. Inactive ones are read until the current turn ends, then
+ * queued and read in FIFO order, with active connections polled between two turns. While too many
+ * RPCs are open, no queued connection is read unless it has waited so long that its RPC can hardly
+ * meet its deadline; that RPC is read to be pushed back, as is one that finds no memory, because
+ * pushing back holds no memory.
+ *
+ * <p>Times are microseconds of {@link MonotonicTime}.
  */
 public final class ReadScheduler {
     private final Limits limits;
     private final MemoryBudget budget;
-    private final ConnectionQueue line = new ConnectionQueue();
-    private int mostWaiting;
-    private long turnEnds;
-    private long deferred;
-    private long shed;
+    private final ConnectionQueue queue = new ConnectionQueue();
+    private int peakQueueSize;
+    private long turnEndsAt;
+    private long deferredReads;
+    private long lateReads;
 
+    /** Creates a scheduler with an empty queue. */
     public ReadScheduler(Limits limits, MemoryBudget budget) {
         this.limits = limits;
         this.budget = budget;
     }
 
-    /** A turn begins: for its time the crowd may be read. */
+    /** Begins a turn, in which inactive connections may be read. */
     public void beginTurn(long now) {
-        turnEnds = now + limits.turnDuration().us();
+        turnEndsAt = now + limits.turnDuration().us();
     }
 
     /**
-     * Whether one that has something to say is read at once; else it waits, and is told by {@link
-     * #poll}.
+     * Returns whether a readable connection is to be read now. If not, it is queued, unless it is
+     * already, and {@link #poll} returns it later.
      */
-    public boolean readNowOrEnqueue(TrackedConnection peer, long now, int openRpcs) {
-        if (isQueued(peer)) {
+    public boolean readNowOrEnqueue(TrackedConnection connection, long now, int openRpcs) {
+        if (isQueued(connection)) {
             return false;
         }
-        // What has begun ends: a message of which a part is held, an answer that a second command
-        // came behind.
-        boolean begun =
-                peer.state() == ConnectionState.BUSY || peer.state() == ConnectionState.RECEIVING;
-        if (now >= turnEnds + limits.turnDuration().us()) {
+        // Work in progress is finished first: a message that has arrived in part, or an answer that
+        // further commands are pipelined behind.
+        boolean inProgress =
+                connection.state() == ConnectionState.BUSY
+                        || connection.state() == ConnectionState.RECEIVING;
+        if (now >= turnEndsAt + limits.turnDuration().us()) {
             beginTurn(now);
         }
-        if (begun || isActive(peer, now) || !hasQueued() && now < turnEnds && hasRoom(openRpcs)) {
+        if (inProgress
+                || isActive(connection, now)
+                || !hasQueued() && now < turnEndsAt && isBelowRpcThreshold(openRpcs)) {
             return true;
         }
-        peer.waitsSince = now;
-        peer.amongWaiting = new ConnectionQueue.Node(peer);
-        line.append(peer.amongWaiting);
-        deferred++;
-        mostWaiting = Math.max(mostWaiting, line.size());
+        connection.queuedAt = now;
+        connection.readNode = new ConnectionQueue.Node(connection);
+        queue.append(connection.readNode);
+        deferredReads++;
+        peakQueueSize = Math.max(peakQueueSize, queue.size());
         return false;
     }
 
-    private boolean isActive(TrackedConnection peer, long now) {
-        return now - peer.servedAt < limits.activeWindow().us();
+    private boolean isActive(TrackedConnection connection, long now) {
+        return now - connection.lastAnsweredAt < limits.activeWindow().us();
     }
 
     /**
-     * The next to be read in this turn; null where the turn is over or none may be. Skips those
-     * that have left.
+     * Removes and returns the next connection to read in this turn, or null if the turn is over or
+     * none may be read. Drops closed connections from the head of the queue.
      */
     public TrackedConnection poll(long now, int openRpcs) {
-        while (hasQueued() && line.first().state() == null) {
-            pop();
+        while (hasQueued() && queue.first().state() == null) {
+            removeFirst();
         }
-        if (now >= turnEnds || !hasEligible(now, openRpcs)) {
+        if (now >= turnEndsAt || !hasEligible(now, openRpcs)) {
             return null;
         }
-        if (late(now)) {
-            shed++;
+        if (isFirstLate(now)) {
+            lateReads++;
         }
-        return pop();
+        return removeFirst();
     }
 
-    private TrackedConnection pop() {
-        TrackedConnection peer = line.first();
-        line.remove(peer.amongWaiting);
-        peer.amongWaiting = null;
-        return peer;
+    private TrackedConnection removeFirst() {
+        TrackedConnection connection = queue.first();
+        queue.remove(connection.readNode);
+        connection.readNode = null;
+        return connection;
     }
 
     /**
-     * Whether one would be read in a new turn: else there is nothing to do until an RPC has ended.
+     * Returns whether a new turn would read a queued connection. If not, no turn is needed until an
+     * RPC has ended or the first connection has reached the maximum queue time.
      */
     public boolean hasEligible(long now, int openRpcs) {
-        return hasQueued() && (hasRoom(openRpcs) || late(now));
+        return hasQueued() && (isBelowRpcThreshold(openRpcs) || isFirstLate(now));
     }
 
-    public boolean isQueued(TrackedConnection peer) {
-        return peer.amongWaiting != null;
+    /** Returns whether the connection is in the read queue. */
+    public boolean isQueued(TrackedConnection connection) {
+        return connection.readNode != null;
     }
 
-    private boolean hasRoom(int openRpcs) {
+    private boolean isBelowRpcThreshold(int openRpcs) {
         return openRpcs < limits.openRpcThreshold();
     }
 
-    private boolean late(long now) {
-        return now - line.first().waitsSince > limits.maxQueueTime().us();
+    private boolean isFirstLate(long now) {
+        return now - queue.first().queuedAt > limits.maxQueueTime().us();
     }
 
-    /** How long it had something to say before it is read now. */
-    public Span queueTime(TrackedConnection peer, long now) {
-        return peer.waitsSince == 0 ? Span.ZERO : new Span(Math.max(0, now - peer.waitsSince));
+    /** Returns how long the data that is being read now has waited; zero if it was not queued. */
+    public Span queueTime(TrackedConnection connection, long now) {
+        return connection.queuedAt == 0
+                ? Span.ZERO
+                : new Span(Math.max(0, now - connection.queuedAt));
     }
 
     /**
-     * Whether an RPC that was read after such a wait, and of so many bytes, is to be pushed back.
+     * Returns whether an RPC is to be pushed back.
+     *
+     * @param queueTime how long it has waited to be read
+     * @param bytes the memory that it takes while it is open
      */
-    public boolean shouldPushBack(Span waited, long bytes) {
-        return waited.longerThan(limits.maxQueueTime()) || !budget.hasRoomForNew(bytes);
+    public boolean shouldPushBack(Span queueTime, long bytes) {
+        return queueTime.longerThan(limits.maxQueueTime()) || !budget.hasRoomForNew(bytes);
     }
 
-    /** What has come of it is read: it waits for no turn. */
-    public void markRead(TrackedConnection peer) {
-        peer.waitsSince = 0;
+    /** Records that the connection's data has been read, which resets its queue time to zero. */
+    public void markRead(TrackedConnection connection) {
+        connection.queuedAt = 0;
     }
 
+    /** Returns whether any connection is in the read queue. */
     public boolean hasQueued() {
-        return line.first() != null;
+        return queue.first() != null;
     }
 
+    /** Returns the number of connections in the read queue. */
     public int queueSize() {
-        return line.size();
+        return queue.size();
     }
 
+    /** Returns the highest value that {@link #queueSize} has had. */
     public int peakQueueSize() {
-        return mostWaiting;
+        return peakQueueSize;
     }
 
+    /** Returns how often a connection was queued instead of read. */
     public long deferredReads() {
-        return deferred;
+        return deferredReads;
     }
 
+    /** Returns how many connections were read after more than the maximum queue time. */
     public long lateReads() {
-        return shed;
+        return lateReads;
     }
 }
--- a/router/src/main/java/ironwind/idle/StateQueue.java
+++ b/router/src/main/java/ironwind/idle/StateQueue.java
@@ -1,23 +1,21 @@
 package ironwind.idle;
 
-/**
- * Connections of one standing in the order in which they came to it: the first has waited longest.
- */
+/** The connections in one state, in the order in which they entered it, longest first. */
 final class StateQueue extends ConnectionQueue {
-    final ConnectionState standing;
+    final ConnectionState state;
 
-    StateQueue(ConnectionState standing) {
-        this.standing = standing;
+    StateQueue(ConnectionState state) {
+        this.state = state;
     }
 
-    void enter(TrackedConnection peer, long now) {
-        peer.chain = this;
-        peer.since = now;
-        append(peer.inChain);
+    void enter(TrackedConnection connection, long now) {
+        connection.stateQueue = this;
+        connection.stateSince = now;
+        append(connection.stateNode);
     }
 
-    void leave(TrackedConnection peer) {
-        remove(peer.inChain);
-        peer.chain = null;
+    void leave(TrackedConnection connection) {
+        remove(connection.stateNode);
+        connection.stateQueue = null;
     }
 }
--- a/router/src/main/java/ironwind/idle/TrackedConnection.java
+++ b/router/src/main/java/ironwind/idle/TrackedConnection.java
@@ -1,49 +1,60 @@
 package ironwind.idle;
 
 /**
- * What is kept of one connection: places in lines, and numbers, so that an idle connection has no
- * list, map or timer of its own. Whoever does its I/O extends it.
+ * State of one client connection: queue positions and numbers only, so that an idle connection has
+ * no list, map or timer of its own. The class that does the connection's I/O extends it.
  */
 public abstract class TrackedConnection {
-    /** Its standing, and its place there. */
-    StateQueue chain;
+    /** Queue of its current state; null before it is added and after it is removed. */
+    StateQueue stateQueue;
 
-    final ConnectionQueue.Node inChain = new ConnectionQueue.Node(this);
-    ConnectionUsage address;
-    ConnectionUsage customer;
+    final ConnectionQueue.Node stateNode = new ConnectionQueue.Node(this);
 
-    /** Among its customer's idle ones, while it is served and idle; null otherwise. */
-    ConnectionQueue.Node amongIdle;
+    /** Usage of its address; null before it is added and after it is removed. */
+    ConnectionUsage addressUsage;
 
-    /**
-     * Among those that are owed something, and among those that wait to be read; null where it is
-     * not.
-     */
-    ConnectionQueue.Node amongDebtors;
+    /** Usage of the customer of its last answer; null if there is none or no limit applies. */
+    ConnectionUsage customerUsage;
+
+    /** Position among its customer's idle connections; null while it is not one of them. */
+    ConnectionQueue.Node idleNode;
+
+    /** Position among the connections with unsent answers; null while it has none. */
+    ConnectionQueue.Node unsentNode;
+
+    /** Position in the read queue; null while it is not queued. */
+    ConnectionQueue.Node readNode;
 
-    ConnectionQueue.Node amongWaiting;
+    /** When it entered its state, in microseconds of {@link MonotonicTime}. */
+    long stateSince;
 
     /**
-     * Steady microseconds: when it came to its standing, took of what it is owed, began to wait for
-     * its turn.
+     * When its unsent answers began to accumulate or its socket last accepted a part of them, in
+     * microseconds of {@link MonotonicTime}.
      */
-    long since;
+    long lastDrainedAt;
 
-    long tookAt;
-    long waitsSince;
+    /**
+     * When it was put into the read queue, in microseconds of {@link MonotonicTime}; 0 if it has
+     * been read since.
+     */
+    long queuedAt;
 
-    /** When it last had an answer; what was served lately is not of the crowd. */
-    long servedAt = Long.MIN_VALUE / 2;
+    /**
+     * When it last had an answer, in microseconds of {@link MonotonicTime}. The initial value lies
+     * so far back that the connection is not active.
+     */
+    long lastAnsweredAt = Long.MIN_VALUE / 2;
 
-    int owed;
+    int unsentBytes;
 
-    /** Its standing; null before it is let in and after it has left. */
+    /** Returns its state; null before it is added and after it is removed. */
     public final ConnectionState state() {
-        return chain == null ? null : chain.standing;
+        return stateQueue == null ? null : stateQueue.state;
     }
 
-    /** Bytes of answers that its socket has not taken. */
+    /** Returns the bytes of answers that its socket has not accepted. */
     public final int unsentBytes() {
-        return owed;
+        return unsentBytes;
     }
 }
--- a/router/src/main/java/ironwind/idle/UnsentAnswers.java
+++ b/router/src/main/java/ironwind/idle/UnsentAnswers.java
@@ -1,78 +1,83 @@
 package ironwind.idle;
 
 /**
- * The clients that are owed bytes which their sockets did not take, in the order in which they last
- * took any: the first is both the next whose time is out and the first to end where all are owed
- * too much.
+ * Tracks the clients with unsent answers, in the order in which their sockets last accepted data.
+ * The first of them is both the next to reach the slow reader timeout and the first to be closed
+ * when the total is over its limit.
  */
 public final class UnsentAnswers {
     private final Limits limits;
     private final MemoryBudget budget;
-    private final ConnectionQueue line = new ConnectionQueue();
+    private final ConnectionQueue queue = new ConnectionQueue();
 
+    /** Creates an empty set whose bytes are reserved from the budget. */
     public UnsentAnswers(Limits limits, MemoryBudget budget) {
         this.limits = limits;
         this.budget = budget;
     }
 
-    /** So many bytes more are owed to it. */
-    public void add(TrackedConnection peer, int bytes, long now) {
+    /** Records that the connection's socket did not accept this many bytes. */
+    public void add(TrackedConnection connection, int bytes, long now) {
         budget.forceReserve(MemoryBudget.Use.UNSENT_ANSWERS, bytes);
-        peer.owed += bytes;
-        if (peer.amongDebtors == null && peer.owed > 0) {
-            stand(peer, now);
+        connection.unsentBytes += bytes;
+        if (connection.unsentNode == null && connection.unsentBytes > 0) {
+            enqueue(connection, now);
         }
     }
 
-    /** It has taken so many of them. */
-    public void drained(TrackedConnection peer, int bytes, long now) {
+    /** Records that the connection's socket has accepted this many of the unsent bytes. */
+    public void drained(TrackedConnection connection, int bytes, long now) {
         if (bytes > 0) {
             budget.release(MemoryBudget.Use.UNSENT_ANSWERS, bytes);
-            peer.owed -= bytes;
-            line.remove(peer.amongDebtors);
-            peer.amongDebtors = null;
-            if (peer.owed > 0) {
-                stand(peer, now);
+            connection.unsentBytes -= bytes;
+            queue.remove(connection.unsentNode);
+            connection.unsentNode = null;
+            if (connection.unsentBytes > 0) {
+                enqueue(connection, now);
             }
         }
     }
 
-    private void stand(TrackedConnection peer, long now) {
-        peer.tookAt = now;
-        peer.amongDebtors = new ConnectionQueue.Node(peer);
-        line.append(peer.amongDebtors);
+    private void enqueue(TrackedConnection connection, long now) {
+        connection.lastDrainedAt = now;
+        connection.unsentNode = new ConnectionQueue.Node(connection);
+        queue.append(connection.unsentNode);
     }
 
-    /** It is gone, and nothing is owed to it. */
-    public void remove(TrackedConnection peer) {
-        drained(peer, peer.owed, 0);
+    /** Removes a closed connection and releases the memory of its unsent bytes. */
+    public void remove(TrackedConnection connection) {
+        drained(connection, connection.unsentBytes, 0);
     }
 
-    /** Whether nothing more is to be read from it. */
-    public boolean isOverClientLimit(TrackedConnection peer) {
-        return peer.owed > limits.maxUnsentPerClient();
+    /** Returns whether the connection has so many unsent bytes that it must not be read from. */
+    public boolean isOverClientLimit(TrackedConnection connection) {
+        return connection.unsentBytes > limits.maxUnsentPerClient();
     }
 
     /**
-     * One that is to end, for {@link #closeReason}; null where none is. It is told again until it
-     * is forgotten.
+     * Returns a connection to close for the reason {@link #closeReason}, or null if there is none.
+     * Returns the same connection until it is removed or its socket accepts data.
      */
     public TrackedConnection nextToClose(long now) {
-        TrackedConnection first = line.first();
-        return first != null && (tooMuch() || now - first.tookAt > limits.slowReaderTimeout().us())
+        TrackedConnection first = queue.first();
+        return first != null
+                        && (isOverTotalLimit()
+                                || now - first.lastDrainedAt > limits.slowReaderTimeout().us())
                 ? first
                 : null;
     }
 
+    /** Returns why the connection that {@link #nextToClose} returns is to be closed. */
     public CloseReason closeReason() {
-        return tooMuch() ? CloseReason.OWED_TOO_MUCH : CloseReason.SLOW_READER;
+        return isOverTotalLimit() ? CloseReason.OWED_TOO_MUCH : CloseReason.SLOW_READER;
     }
 
-    private boolean tooMuch() {
+    private boolean isOverTotalLimit() {
         return budget.reserved(MemoryBudget.Use.UNSENT_ANSWERS) > limits.maxUnsentTotal();
     }
 
+    /** Returns the number of clients with unsent answers. */
     public int clientCount() {
-        return line.size();
+        return queue.size();
     }
 }
--- a/router/src/main/java/ironwind/idle/package-info.java
+++ b/router/src/main/java/ironwind/idle/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Which client connections are kept, for how long, who is read when, and what memory they may have.
- * Nothing here does I/O or reads a clock; every step costs the same however many connections there
- * are.
+ * Admission, eviction, timeouts, read scheduling and memory accounting of client connections. The
+ * package does no I/O and reads no clock, and the cost of each operation is independent of the
+ * number of connections.
  */
 package ironwind.idle;
--- a/router/src/test/java/ironwind/idle/ConnectionManagerTest.java
+++ b/router/src/test/java/ironwind/idle/ConnectionManagerTest.java
@@ -15,21 +15,26 @@
 import net.jqwik.api.Provide;
 import org.junit.jupiter.api.Test;
 
-/** The keeper beside a naive model that keeps a plain list and searches all of it. */
+/** Compares the connection manager with a model that searches a plain list of connections. */
 class ConnectionManagerTest {
-    private static final int MOST = 6;
-    private static final int OF_ADDRESS = 3;
-    private static final int OF_CUSTOMER = 2;
-    private static final Limits LIMITS = limits(MOST, OF_ADDRESS, OF_CUSTOMER, 0, 0);
+    private static final int MAX_CONNECTIONS = 6;
+    private static final int MAX_PER_ADDRESS = 3;
+    private static final int MAX_PER_CUSTOMER = 2;
+    private static final Limits LIMITS =
+            limits(MAX_CONNECTIONS, MAX_PER_ADDRESS, MAX_PER_CUSTOMER, 0, 0);
 
     static Limits limits(
-            int connections, int perAddress, int perCustomer, int newPerSecond, int newAtOnce) {
+            int maxConnections,
+            int maxPerAddress,
+            int maxPerCustomer,
+            int acceptRate,
+            int acceptBurst) {
         return new Limits(
-                connections,
-                perAddress,
-                perCustomer,
-                newPerSecond,
-                newAtOnce,
+                maxConnections,
+                maxPerAddress,
+                maxPerCustomer,
+                acceptRate,
+                acceptBurst,
                 Span.ofMillis(20),
                 Span.ofMillis(30),
                 Span.ofMillis(40),
@@ -48,26 +53,26 @@
                 0);
     }
 
-    static final class Bare extends TrackedConnection {}
+    static final class TestConnection extends TrackedConnection {}
 
-    /** What a model knows of one connection. */
-    private static final class Known {
-        private final TrackedConnection peer = new Bare();
+    /** One connection in the model. */
+    private static final class ModelConnection {
+        private final TrackedConnection tracked = new TestConnection();
         private final String address;
-        private ConnectionState standing = ConnectionState.STARTUP;
-        private long since;
+        private ConnectionState state = ConnectionState.STARTUP;
+        private long stateSince;
 
-        /** Orders those that came to their standing at one time. */
+        /** Order in which connections entered their states, also within one microsecond. */
         private long order;
 
         private String customer;
 
-        private Known(String address) {
+        private ModelConnection(String address) {
             this.address = address;
         }
     }
 
-    private record Step(int kind, int which, int standing, long passes) {}
+    private record Step(int kind, int which, int state, long elapsedUs) {}
 
     @Provide
     Arbitrary<List<Step>> steps() {
@@ -82,179 +87,190 @@
                 .ofMaxSize(120);
     }
 
-    private final List<Known> inside = new ArrayList<>();
+    private final List<ModelConnection> open = new ArrayList<>();
     private long order;
 
     @Property(tries = 400, seed = "20261201")
-    void agreesWithASearchOfAll(@ForAll("steps") List<Step> steps) {
-        ConnectionManager keeper = new ConnectionManager(LIMITS);
-        inside.clear();
+    void agreesWithALinearSearch(@ForAll("steps") List<Step> steps) {
+        ConnectionManager manager = new ConnectionManager(LIMITS);
+        open.clear();
         long now = 1_000;
         for (Step step : steps) {
-            now += step.passes;
-            act(keeper, step, now);
-            for (ConnectionState standing : ConnectionState.values()) {
-                assertThat(keeper.countInState(standing))
+            now += step.elapsedUs;
+            perform(manager, step, now);
+            for (ConnectionState state : ConnectionState.values()) {
+                assertThat(manager.countInState(state))
                         .isEqualTo(
-                                inside.stream()
-                                        .filter(known -> known.standing == standing)
+                                open.stream()
+                                        .filter(connection -> connection.state == state)
                                         .count());
             }
-            assertThat(keeper.connectionCount()).isEqualTo(inside.size());
-            assertThat(keeper.addressCount())
-                    .isEqualTo(inside.stream().map(known -> known.address).distinct().count());
-            Known least = leastKnown();
-            assertThat(keeper.evictionCandidateIfFull())
-                    .isSameAs(inside.size() < MOST || least == null ? null : least.peer);
-            checkDue(keeper, now);
+            assertThat(manager.connectionCount()).isEqualTo(open.size());
+            assertThat(manager.addressCount())
+                    .isEqualTo(
+                            open.stream().map(connection -> connection.address).distinct().count());
+            ModelConnection candidate = evictionCandidate();
+            assertThat(manager.evictionCandidateIfFull())
+                    .isSameAs(
+                            open.size() < MAX_CONNECTIONS || candidate == null
+                                    ? null
+                                    : candidate.tracked);
+            checkNextExpired(manager, now);
         }
     }
 
-    private void act(ConnectionManager keeper, Step step, long now) {
+    private void perform(ConnectionManager manager, Step step, long now) {
         if (step.kind <= 1) {
             String address = "a" + step.which % 4;
-            long same = inside.stream().filter(known -> known.address.equals(address)).count();
+            long sameAddress =
+                    open.stream().filter(connection -> connection.address.equals(address)).count();
             CloseReason expected =
-                    same >= OF_ADDRESS
+                    sameAddress >= MAX_PER_ADDRESS
                             ? CloseReason.ADDRESS_FULL
-                            : inside.size() >= MOST && leastKnown() == null
+                            : open.size() >= MAX_CONNECTIONS && evictionCandidate() == null
                                     ? CloseReason.ALL_BUSY
                                     : null;
-            assertThat(keeper.refusalReason(address)).isEqualTo(expected);
+            assertThat(manager.refusalReason(address)).isEqualTo(expected);
             if (expected == null) {
-                Known known = new Known(address);
-                stand(known, ConnectionState.STARTUP, now);
-                inside.add(known);
-                keeper.add(known.peer, address, now);
+                ModelConnection connection = new ModelConnection(address);
+                enterState(connection, ConnectionState.STARTUP, now);
+                open.add(connection);
+                manager.add(connection.tracked, address, now);
             }
             return;
-        } else if (inside.isEmpty()) {
+        } else if (open.isEmpty()) {
             return;
         }
-        Known known = inside.get(step.which % inside.size());
+        ModelConnection connection = open.get(step.which % open.size());
         switch (step.kind) {
             case 2 -> {
-                keeper.remove(known.peer);
-                keeper.remove(known.peer);
-                inside.remove(known);
-                assertThat(known.peer.state()).isNull();
+                manager.remove(connection.tracked);
+                manager.remove(connection.tracked);
+                open.remove(connection);
+                assertThat(connection.tracked.state()).isNull();
             }
             case 3 -> {
-                known.customer = step.standing == 0 ? null : "c" + step.standing % 2;
-                TrackedConnection over = keeper.recordAnswer(known.peer, known.customer, now);
-                assertThat(over).isSameAs(overCustomer(known.customer));
+                connection.customer = step.state == 0 ? null : "c" + step.state % 2;
+                TrackedConnection excess =
+                        manager.recordAnswer(connection.tracked, connection.customer, now);
+                assertThat(excess).isSameAs(idleOverCustomerLimit(connection.customer));
             }
             default -> {
-                stand(known, ConnectionState.values()[step.standing], now);
-                keeper.setState(known.peer, known.standing, now);
+                enterState(connection, ConnectionState.values()[step.state], now);
+                manager.setState(connection.tracked, connection.state, now);
             }
         }
     }
 
-    private void stand(Known known, ConnectionState standing, long now) {
-        known.standing = standing;
-        known.since = now;
-        known.order = order++;
+    private void enterState(ModelConnection connection, ConnectionState state, long now) {
+        connection.state = state;
+        connection.stateSince = now;
+        connection.order = order++;
     }
 
-    private TrackedConnection overCustomer(String customer) {
-        List<Known> all =
-                inside.stream()
-                        .filter(known -> customer != null && customer.equals(known.customer))
+    private TrackedConnection idleOverCustomerLimit(String customer) {
+        List<ModelConnection> all =
+                open.stream()
+                        .filter(
+                                connection ->
+                                        customer != null && customer.equals(connection.customer))
                         .toList();
-        return all.size() <= OF_CUSTOMER
+        return all.size() <= MAX_PER_CUSTOMER
                 ? null
                 : all.stream()
-                        .filter(known -> known.standing == ConnectionState.IDLE)
-                        .filter(known -> stoodAsCustomers(known))
-                        .min(Comparator.comparingLong(known -> known.order))
-                        .map(known -> known.peer)
+                        .filter(connection -> connection.state == ConnectionState.IDLE)
+                        .filter(connection -> isIdleForCustomer(connection))
+                        .min(Comparator.comparingLong(connection -> connection.order))
+                        .map(connection -> connection.tracked)
                         .orElse(null);
     }
 
     /**
-     * It counts as idle for its customer once it has come to be served on the customer's behalf.
+     * Whether the connection is idle for its customer: it has entered IDLE after an answer on the
+     * customer's behalf. The model takes this from the manager.
      */
-    private boolean stoodAsCustomers(Known known) {
-        return known.peer.amongIdle != null;
+    private boolean isIdleForCustomer(ModelConnection connection) {
+        return connection.tracked.idleNode != null;
     }
 
-    private Known leastKnown() {
-        return inside.stream()
-                .filter(known -> known.standing.compareTo(ConnectionState.RECEIVING) < 0)
+    private ModelConnection evictionCandidate() {
+        return open.stream()
+                .filter(connection -> connection.state.compareTo(ConnectionState.RECEIVING) < 0)
                 .min(
-                        Comparator.comparing((Known known) -> known.standing)
-                                .thenComparing(known -> known.order))
+                        Comparator.comparing((ModelConnection connection) -> connection.state)
+                                .thenComparing(connection -> connection.order))
                 .orElse(null);
     }
 
-    private void checkDue(ConnectionManager keeper, long now) {
-        List<TrackedConnection> due =
-                inside.stream()
+    private void checkNextExpired(ConnectionManager manager, long now) {
+        List<TrackedConnection> expired =
+                open.stream()
                         .filter(
-                                known -> {
-                                    long patience =
-                                            switch (known.standing) {
+                                connection -> {
+                                    long timeoutUs =
+                                            switch (connection.state) {
                                                 case CLOSING -> 300_000;
                                                 case STARTUP -> 20_000;
                                                 case RECEIVING -> 30_000;
                                                 case UNUSED -> 40_000;
                                                 case IDLE ->
-                                                        inside.size() > MOST / 2 ? 50_000 : 90_000;
+                                                        open.size() > MAX_CONNECTIONS / 2
+                                                                ? 50_000
+                                                                : 90_000;
                                                 case BUSY -> Long.MAX_VALUE;
                                             };
-                                    return now - known.since > patience;
+                                    return now - connection.stateSince > timeoutUs;
                                 })
-                        .map(known -> known.peer)
+                        .map(connection -> connection.tracked)
                         .toList();
-        TrackedConnection told = keeper.nextExpired(now);
-        if (due.isEmpty()) {
-            assertThat(told).isNull();
+        TrackedConnection next = manager.nextExpired(now);
+        if (expired.isEmpty()) {
+            assertThat(next).isNull();
         } else {
-            assertThat(due).contains(Objects.requireNonNull(told));
+            assertThat(expired).contains(Objects.requireNonNull(next));
         }
     }
 
-    /** Guards against a door that lets in more than its rate, or none again after a pause. */
+    /** Guards against accepting more than the accept rate, or nothing after a pause. */
     @Test
-    void theDoorKeepsItsRate() {
-        ConnectionManager keeper = new ConnectionManager(limits(10_000, 0, 0, 100, 10));
-        int let = 0;
+    void acceptsAtTheConfiguredRate() {
+        ConnectionManager manager = new ConnectionManager(limits(10_000, 0, 0, 100, 10));
+        int accepted = 0;
         for (long now = 0; now < 2_000_000; now += 500) {
-            while (keeper.mayAccept(now)) {
-                keeper.add(new Bare(), "a", now);
-                let++;
+            while (manager.mayAccept(now)) {
+                manager.add(new TestConnection(), "a", now);
+                accepted++;
             }
-            assertThat(keeper.nextAcceptIn(now).us()).isBetween(1_000L, 10_000L);
+            assertThat(manager.nextAcceptIn(now).us()).isBetween(1_000L, 10_000L);
         }
-        assertThat(let).isBetween(205, 210);
-        keeper.mayAccept(3_600_000_000L);
-        int after = 0;
-        while (keeper.mayAccept(3_600_000_000L)) {
-            keeper.add(new Bare(), "a", 3_600_000_000L);
-            after++;
+        assertThat(accepted).isBetween(205, 210);
+        manager.mayAccept(3_600_000_000L);
+        int acceptedAfterPause = 0;
+        while (manager.mayAccept(3_600_000_000L)) {
+            manager.add(new TestConnection(), "a", 3_600_000_000L);
+            acceptedAfterPause++;
         }
-        assertThat(after).isEqualTo(10);
+        assertThat(acceptedAfterPause).isEqualTo(10);
     }
 
-    /** Guards against a newcomer that is chosen to make room for itself. */
+    /** Guards against evicting the new connection that the eviction makes room for. */
     @Test
-    void whoComesIsNotWhoGivesWay() {
-        ConnectionManager keeper = new ConnectionManager(limits(2, 0, 0, 0, 0));
-        TrackedConnection first = new Bare();
-        TrackedConnection second = new Bare();
-        for (TrackedConnection peer : List.of(first, second)) {
-            keeper.add(peer, "a", 1);
-            keeper.recordAnswer(peer, null, 1);
-            keeper.setState(peer, ConnectionState.IDLE, 1);
+    void newConnectionIsNotEvictedForItself() {
+        ConnectionManager manager = new ConnectionManager(limits(2, 0, 0, 0, 0));
+        TrackedConnection first = new TestConnection();
+        TrackedConnection second = new TestConnection();
+        for (TrackedConnection tracked : List.of(first, second)) {
+            manager.add(tracked, "a", 1);
+            manager.recordAnswer(tracked, null, 1);
+            manager.setState(tracked, ConnectionState.IDLE, 1);
         }
-        assertThat(keeper.evictionCandidateIfFull()).isSameAs(first);
-        keeper.remove(first);
-        assertThat(keeper.evictionCandidateIfFull()).isNull();
-        keeper.setState(second, ConnectionState.BUSY, 2);
-        keeper.add(first, "a", 2);
-        keeper.setState(first, ConnectionState.RECEIVING, 2);
-        assertThat(keeper.evictionCandidateIfFull()).isNull();
-        assertThat(keeper.refusalReason("b")).isEqualTo(CloseReason.ALL_BUSY);
+        assertThat(manager.evictionCandidateIfFull()).isSameAs(first);
+        manager.remove(first);
+        assertThat(manager.evictionCandidateIfFull()).isNull();
+        manager.setState(second, ConnectionState.BUSY, 2);
+        manager.add(first, "a", 2);
+        manager.setState(first, ConnectionState.RECEIVING, 2);
+        assertThat(manager.evictionCandidateIfFull()).isNull();
+        assertThat(manager.refusalReason("b")).isEqualTo(CloseReason.ALL_BUSY);
     }
 }
--- a/router/src/test/java/ironwind/idle/ReadSchedulerTest.java
+++ b/router/src/test/java/ironwind/idle/ReadSchedulerTest.java
@@ -17,29 +17,30 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** ReadScheduler, debtors, the budget and the steady time. */
+/** Tests the read scheduler, the unsent answers, the memory budget and the monotonic time. */
 class ReadSchedulerTest {
     private static final Limits LIMITS = ConnectionManagerTest.limits(100, 0, 0, 0, 0);
     private final MemoryBudget budget = new MemoryBudget(LIMITS.memoryBytes());
-    private final ConnectionManager keeper = new ConnectionManager(LIMITS);
-    private final ReadScheduler turns = new ReadScheduler(LIMITS, budget);
-    private final UnsentAnswers debtors = new UnsentAnswers(LIMITS, budget);
+    private final ConnectionManager manager = new ConnectionManager(LIMITS);
+    private final ReadScheduler scheduler = new ReadScheduler(LIMITS, budget);
+    private final UnsentAnswers unsent = new UnsentAnswers(LIMITS, budget);
 
-    private TrackedConnection peer(ConnectionState standing, long servedAt) {
-        TrackedConnection peer = new ConnectionManagerTest.Bare();
-        keeper.add(peer, "a", 0);
-        if (servedAt > 0) {
-            keeper.recordAnswer(peer, null, servedAt);
+    private TrackedConnection connection(ConnectionState state, long lastAnsweredAt) {
+        TrackedConnection connection = new ConnectionManagerTest.TestConnection();
+        manager.add(connection, "a", 0);
+        if (lastAnsweredAt > 0) {
+            manager.recordAnswer(connection, null, lastAnsweredAt);
         }
-        keeper.setState(peer, standing, 0);
-        return peer;
+        manager.setState(connection, state, 0);
+        return connection;
     }
 
     /**
-     * Limits: turn 1 ms, active 60 ms, open RPCs 4, memory 1000 of which 750 for what is new; now
-     * is 100 ms.
+     * Limits: turn duration 1 ms, active window 60 ms, open RPC threshold 4, memory 1000 bytes, of
+     * which 750 for new work. The time is 100 ms.
      */
-    @ParameterizedTest(name = "{0}, answered at {1} us, {2} open, {3} bytes lent, others wait: {4}")
+    @ParameterizedTest(
+            name = "{0}, answered at {1} us, {2} open, {3} bytes reserved, others queued: {4}")
     @CsvSource({
         "IDLE, 99000, 9, 900, true, true",
         "IDLE, 30000, 0, 0, false, true",
@@ -51,129 +52,136 @@
         "RECEIVING, 0, 9, 900, true, true",
         "BUSY, 0, 9, 900, true, true"
     })
-    void whoIsReadAtOnce(
-            ConnectionState standing,
-            long servedAt,
+    void readsNowOrEnqueues(
+            ConnectionState state,
+            long lastAnsweredAt,
             int open,
-            long lent,
-            boolean others,
-            boolean atOnce) {
-        budget.forceReserve(Use.OPEN_RPCS, lent);
-        if (others) {
-            turns.beginTurn(0);
-            assertThat(turns.readNowOrEnqueue(peer(ConnectionState.IDLE, 0), 1_500, 0)).isFalse();
+            long reserved,
+            boolean othersQueued,
+            boolean readNow) {
+        budget.forceReserve(Use.OPEN_RPCS, reserved);
+        if (othersQueued) {
+            scheduler.beginTurn(0);
+            assertThat(scheduler.readNowOrEnqueue(connection(ConnectionState.IDLE, 0), 1_500, 0))
+                    .isFalse();
         }
-        assertThat(turns.readNowOrEnqueue(peer(standing, servedAt), 100_000, open))
-                .isEqualTo(atOnce);
-        assertThat(turns.queueSize()).isEqualTo((others ? 1 : 0) + (atOnce ? 0 : 1));
+        assertThat(scheduler.readNowOrEnqueue(connection(state, lastAnsweredAt), 100_000, open))
+                .isEqualTo(readNow);
+        assertThat(scheduler.queueSize()).isEqualTo((othersQueued ? 1 : 0) + (readNow ? 0 : 1));
     }
 
-    /** Guards against a crowd that is read in one go while those who were active wait behind it. */
+    /** Guards against reading all queued connections in one turn while active ones wait. */
     @Test
-    void aCrowdIsReadInTurnsInTheOrderInWhichItCame() {
-        turns.beginTurn(0);
-        List<TrackedConnection> crowd = new ArrayList<>();
+    void queuedConnectionsAreReadInTurnsInFifoOrder() {
+        scheduler.beginTurn(0);
+        List<TrackedConnection> queued = new ArrayList<>();
         for (int i = 0; i < 50; i++) {
-            TrackedConnection peer = peer(ConnectionState.IDLE, 0);
-            crowd.add(peer);
-            assertThat(turns.readNowOrEnqueue(peer, 1_200, 0)).isFalse();
-            assertThat(turns.readNowOrEnqueue(peer, 1_200, 0)).isFalse();
+            TrackedConnection connection = connection(ConnectionState.IDLE, 0);
+            queued.add(connection);
+            assertThat(scheduler.readNowOrEnqueue(connection, 1_200, 0)).isFalse();
+            assertThat(scheduler.readNowOrEnqueue(connection, 1_200, 0)).isFalse();
         }
-        keeper.remove(crowd.remove(7));
+        manager.remove(queued.remove(7));
         List<TrackedConnection> read = new ArrayList<>();
-        for (long turn = 2_000; turns.hasQueued(); turn += 1_000) {
-            turns.beginTurn(turn);
+        for (long turn = 2_000; scheduler.hasQueued(); turn += 1_000) {
+            scheduler.beginTurn(turn);
             int inTurn = 0;
-            for (TrackedConnection next = turns.poll(turn, 0);
+            for (TrackedConnection next = scheduler.poll(turn, 0);
                     next != null;
-                    next = turns.poll(turn + 100L * inTurn, 0)) {
+                    next = scheduler.poll(turn + 100L * inTurn, 0)) {
                 read.add(next);
                 inTurn++;
             }
             assertThat(inTurn).isBetween(1, 10);
         }
-        assertThat(read).isEqualTo(crowd);
+        assertThat(read).isEqualTo(queued);
     }
 
     /**
-     * Guards against a crowd that waits out its deadlines behind RPCs that it can't be served
-     * beside.
+     * Guards against queued connections that are not read until their deadlines have passed, while
+     * as many RPCs are open as the threshold allows.
      */
     @Test
-    void whoWaitedTooLongIsReadToBePushedBack() {
-        turns.beginTurn(0);
-        TrackedConnection peer = peer(ConnectionState.IDLE, 0);
-        assertThat(turns.readNowOrEnqueue(peer, 1_500, 4)).isFalse();
-        turns.beginTurn(40_000);
-        assertThat(turns.poll(40_000, 4)).isNull();
-        assertThat(turns.hasEligible(40_000, 4)).isFalse();
-        turns.beginTurn(60_000);
-        assertThat(turns.hasEligible(60_000, 4)).isTrue();
-        assertThat(turns.poll(60_000, 4)).isSameAs(peer);
-        Span waited = turns.queueTime(peer, 60_000);
-        assertThat(waited).isEqualTo(new Span(58_500));
-        assertThat(turns.shouldPushBack(waited, 10)).isTrue();
-        turns.markRead(peer);
-        assertThat(turns.shouldPushBack(turns.queueTime(peer, 90_000), 10)).isFalse();
-        assertThat(turns.shouldPushBack(Span.ZERO, 751)).isTrue();
+    void lateConnectionIsReadToBePushedBack() {
+        scheduler.beginTurn(0);
+        TrackedConnection connection = connection(ConnectionState.IDLE, 0);
+        assertThat(scheduler.readNowOrEnqueue(connection, 1_500, 4)).isFalse();
+        scheduler.beginTurn(40_000);
+        assertThat(scheduler.poll(40_000, 4)).isNull();
+        assertThat(scheduler.hasEligible(40_000, 4)).isFalse();
+        scheduler.beginTurn(60_000);
+        assertThat(scheduler.hasEligible(60_000, 4)).isTrue();
+        assertThat(scheduler.poll(60_000, 4)).isSameAs(connection);
+        Span queueTime = scheduler.queueTime(connection, 60_000);
+        assertThat(queueTime).isEqualTo(new Span(58_500));
+        assertThat(scheduler.shouldPushBack(queueTime, 10)).isTrue();
+        scheduler.markRead(connection);
+        assertThat(scheduler.shouldPushBack(scheduler.queueTime(connection, 90_000), 10)).isFalse();
+        assertThat(scheduler.shouldPushBack(Span.ZERO, 751)).isTrue();
     }
 
-    private record Owed(TrackedConnection peer, long[] bytes, long[] tookAt) {}
+    private record ModelClient(TrackedConnection connection, long[] bytes, long[] lastDrainedAt) {}
 
     /**
-     * The first that is due is always the one that has taken nothing for longest, as a plain queue
-     * has it.
+     * Compares with a plain queue: the connection to close is always the one whose socket has
+     * accepted nothing for longest.
      */
     @Property(tries = 300, seed = "20261202")
-    void debtorsStandInTheOrderInWhichTheyLastTook(
+    void unsentAnswersAreOrderedByLastDrain(
             @ForAll @Size(max = 80) List<@IntRange(min = 0, max = 299) Integer> steps) {
-        MemoryBudget own = new MemoryBudget(10_000);
-        UnsentAnswers all = new UnsentAnswers(LIMITS, own);
-        List<Owed> clients = new ArrayList<>();
+        MemoryBudget clientBudget = new MemoryBudget(10_000);
+        UnsentAnswers unsentAnswers = new UnsentAnswers(LIMITS, clientBudget);
+        List<ModelClient> clients = new ArrayList<>();
         for (int i = 0; i < 5; i++) {
-            clients.add(new Owed(new ConnectionManagerTest.Bare(), new long[1], new long[1]));
+            clients.add(
+                    new ModelClient(
+                            new ConnectionManagerTest.TestConnection(), new long[1], new long[1]));
         }
-        Deque<Owed> queue = new ArrayDeque<>();
+        Deque<ModelClient> queue = new ArrayDeque<>();
         long now = 0;
         for (int step : steps) {
             now += step * 300L;
-            Owed client = clients.get(step % 5);
+            ModelClient client = clients.get(step % 5);
             int bytes = step / 3;
             if (step % 3 == 0) {
-                all.add(client.peer, bytes, now);
+                unsentAnswers.add(client.connection, bytes, now);
                 if (client.bytes[0] == 0 && bytes > 0) {
-                    client.tookAt[0] = now;
+                    client.lastDrainedAt[0] = now;
                     queue.add(client);
                 }
                 client.bytes[0] += bytes;
             } else {
-                int taken = (int) Math.min(bytes, client.bytes[0]);
-                all.drained(client.peer, taken, now);
-                client.bytes[0] -= taken;
-                if (taken > 0) {
+                int drained = (int) Math.min(bytes, client.bytes[0]);
+                unsentAnswers.drained(client.connection, drained, now);
+                client.bytes[0] -= drained;
+                if (drained > 0) {
                     queue.remove(client);
-                    client.tookAt[0] = now;
+                    client.lastDrainedAt[0] = now;
                     if (client.bytes[0] > 0) {
                         queue.add(client);
                     }
                 }
             }
-            long sum = queue.stream().mapToLong(owed -> owed.bytes[0]).sum();
-            assertThat(own.reserved(Use.UNSENT_ANSWERS)).isEqualTo(sum);
-            boolean due = !queue.isEmpty() && (sum > 400 || now - queue.peek().tookAt[0] > 100_000);
-            assertThat(all.nextToClose(now)).isSameAs(due ? queue.peek().peer : null);
-            assertThat(all.closeReason())
+            long sum = queue.stream().mapToLong(queued -> queued.bytes[0]).sum();
+            assertThat(clientBudget.reserved(Use.UNSENT_ANSWERS)).isEqualTo(sum);
+            boolean shouldClose =
+                    !queue.isEmpty()
+                            && (sum > 400 || now - queue.peek().lastDrainedAt[0] > 100_000);
+            assertThat(unsentAnswers.nextToClose(now))
+                    .isSameAs(shouldClose ? queue.peek().connection : null);
+            assertThat(unsentAnswers.closeReason())
                     .isEqualTo(sum > 400 ? CloseReason.OWED_TOO_MUCH : CloseReason.SLOW_READER);
-            assertThat(all.clientCount()).isEqualTo(queue.size());
-            assertThat(all.isOverClientLimit(client.peer)).isEqualTo(client.bytes[0] > 100);
+            assertThat(unsentAnswers.clientCount()).isEqualTo(queue.size());
+            assertThat(unsentAnswers.isOverClientLimit(client.connection))
+                    .isEqualTo(client.bytes[0] > 100);
         }
-        clients.forEach(client -> all.remove(client.peer));
-        assertThat(own.totalReserved()).isZero();
-        assertThat(all.clientCount()).isZero();
+        clients.forEach(client -> unsentAnswers.remove(client.connection));
+        assertThat(clientBudget.totalReserved()).isZero();
+        assertThat(unsentAnswers.clientCount()).isZero();
     }
 
     @Test
-    void theBudgetLendsNoMoreThanThereIs() {
+    void budgetReservesNoMoreThanItsLimit() {
         assertThat(budget.tryReserve(Use.PARTIAL_REQUESTS, 700)).isTrue();
         assertThat(budget.tryReserve(Use.PARTIAL_ANSWERS, 301)).isFalse();
         assertThat(budget.tryReserve(Use.PARTIAL_ANSWERS, 300)).isTrue();
@@ -187,17 +195,17 @@
     }
 
     /**
-     * Guards against all connections being taken for silent after the clock has jumped or the
-     * process has stood.
+     * Guards against all connections reaching their timeouts after a step of the clock or a pause
+     * of the process.
      */
-    @ParameterizedTest(name = "a clock that jumps by {0} us tells {1} more, with {2} left out")
+    @ParameterizedTest(name = "a step of {0} us advances the time by {1} us and skips {2} us")
     @CsvSource({"1000, 1000, 0", "0, 0, 0", "-60000000, 0, 0", "60000000, 500000, 59500000"})
-    void theSteadyTimeNeitherJumpsNorGoesBack(long jump, long told, long leftOut) {
-        MonotonicTime steady = new MonotonicTime(Span.ofMillis(500));
-        steady.advance(90_000_000);
-        long before = steady.advance(90_001_000);
-        assertThat(steady.advance(90_001_000 + jump) - before).isEqualTo(told);
-        assertThat(steady.skipped().us()).isEqualTo(leftOut);
-        assertThat(steady.advance(90_001_000 + jump + 70) - before).isEqualTo(told + 70);
+    void monotonicTimeNeitherJumpsNorGoesBack(long step, long advanced, long skipped) {
+        MonotonicTime time = new MonotonicTime(Span.ofMillis(500));
+        time.advance(90_000_000);
+        long before = time.advance(90_001_000);
+        assertThat(time.advance(90_001_000 + step) - before).isEqualTo(advanced);
+        assertThat(time.skipped().us()).isEqualTo(skipped);
+        assertThat(time.advance(90_001_000 + step + 70) - before).isEqualTo(advanced + 70);
     }
 }
