--- a/lab/src/main/java/ironwind/lab/LabClient.java
+++ b/lab/src/main/java/ironwind/lab/LabClient.java
@@ -2,7 +2,7 @@
 
 import ironwind.pg.Encoder;
 import ironwind.pg.Frame;
-import ironwind.pg.Frames;
+import ironwind.pg.FrameDecoder;
 import ironwind.pg.HostMessage;
 import ironwind.standin.Link;
 import ironwind.standin.Loop;
@@ -36,7 +36,7 @@
 
     private Listener listener;
     private Link link;
-    private Frames frames;
+    private FrameDecoder frames;
     private boolean greeted;
     private boolean row;
     private Answer answer;
@@ -109,7 +109,7 @@
     @Override
     public void received(Link from, byte[] bytes) {
         if (frames == null) {
-            frames = new Frames(false, HostMessage.TYPES, LARGEST);
+            frames = new FrameDecoder(false, HostMessage.TYPES, LARGEST);
         }
         frames.add(bytes);
         for (Frame frame = frames.next(); frame != null; frame = frames.next()) {
--- a/lab/src/test/java/ironwind/lab/Talk.java
+++ b/lab/src/test/java/ironwind/lab/Talk.java
@@ -2,7 +2,7 @@
 
 import ironwind.pg.Encoder;
 import ironwind.pg.Frame;
-import ironwind.pg.Frames;
+import ironwind.pg.FrameDecoder;
 import ironwind.pg.HostMessage;
 import java.io.IOException;
 import java.net.InetAddress;
@@ -18,7 +18,7 @@
     private static final int PATIENCE_MS = 8_000;
 
     final Socket socket = new Socket();
-    private final Frames frames = new Frames(false, HostMessage.TYPES, 1 << 20);
+    private final FrameDecoder frames = new FrameDecoder(false, HostMessage.TYPES, 1 << 20);
 
     /** First and second value of each row of the last answer. */
     final Map<String, String> rows = new TreeMap<>();
--- a/router/src/main/java/ironwind/net/ClientConnection.java
+++ b/router/src/main/java/ironwind/net/ClientConnection.java
@@ -6,12 +6,12 @@
 import ironwind.model.Span;
 import ironwind.pg.ClientMessage;
 import ironwind.pg.Encoder;
-import ironwind.pg.Failure;
 import ironwind.pg.Frame;
-import ironwind.pg.Frames;
-import ironwind.pg.Pg;
-import ironwind.pg.PgFault;
+import ironwind.pg.FrameDecoder;
+import ironwind.pg.PgError;
+import ironwind.pg.PgException;
 import ironwind.pg.Statement;
+import ironwind.pg.WireFormat;
 import java.nio.channels.SocketChannel;
 import java.util.function.Function;
 
@@ -30,7 +30,7 @@
     private final Clients clients;
 
     /** What has come of a message that is not whole; null where none has begun. */
-    private Frames frames;
+    private FrameDecoder frames;
 
     /** Bytes lent for it. */
     private int lent;
@@ -97,7 +97,8 @@
     private void received(byte[] bytes) {
         if (bytes.length > 0 && closing != Ending.CLIENT_MALFORMED) {
             if (frames == null) {
-                frames = new Frames(!started, ClientMessage.TYPES, Pg.LARGEST_MESSAGE);
+                frames =
+                        new FrameDecoder(!started, ClientMessage.TYPES, WireFormat.LARGEST_MESSAGE);
             }
             frames.add(bytes);
             proceed();
@@ -125,7 +126,7 @@
                 frame = next();
             }
             keep();
-        } catch (PgFault fault) {
+        } catch (PgException fault) {
             fail(fault);
         } finally {
             proceeding = false;
@@ -153,7 +154,7 @@
             // Where whole commands wait behind unanswered ones they were taken, and are not to be
             // lost.
             if (!clients.lend(size - lent, hasEnough())) {
-                throw new PgFault(Reason.NO_MEMORY.code, Reason.NO_MEMORY.words);
+                throw new PgException(Reason.NO_MEMORY.code, Reason.NO_MEMORY.words);
             }
             lent = size;
         }
@@ -172,7 +173,8 @@
             if (!skipping) {
                 skipping = true;
                 refuse(
-                        new PgFault(PgFault.UNSUPPORTED, "only simple queries are spoken here"),
+                        new PgException(
+                                PgException.UNSUPPORTED, "only simple queries are spoken here"),
                         Encoder::error);
             }
         } else if (message instanceof ClientMessage.Sync) {
@@ -193,7 +195,7 @@
     private void command(String sql) {
         try {
             clients.command(this, sql);
-        } catch (PgFault fault) {
+        } catch (PgException fault) {
             refuse(fault, Encoder::failure);
         }
     }
@@ -201,19 +203,19 @@
     // ---- what goes
 
     /** The error that is owed in place of an answer, in one of the encoder's forms. */
-    private void refuse(PgFault fault, Function<Failure, byte[]> form) {
+    private void refuse(PgException fault, Function<PgError, byte[]> form) {
         clients.malformed(fault);
-        add(null, 0).answer(form.apply(new Failure(fault.code, fault.getMessage(), null)));
+        add(null, 0).answer(form.apply(new PgError(fault.code, fault.getMessage(), null)));
     }
 
     /** The connection ends in an error, after the answers that are owed before it. */
-    void fail(PgFault fault) {
+    void fail(PgException fault) {
         endWith(() -> refuse(fault, Encoder::fatal));
     }
 
     /** The same for a reason of ours; {@code comeBack} tells when another try makes sense. */
     void turnAway(Reason reason, Span comeBack) {
-        Failure failure = new Failure(reason.code, reason.words, Timers.told(comeBack));
+        PgError failure = new PgError(reason.code, reason.words, Timers.told(comeBack));
         endWith(() -> add(null, 0).answer(Encoder.fatal(failure)));
     }
 
--- a/router/src/main/java/ironwind/net/Clients.java
+++ b/router/src/main/java/ironwind/net/Clients.java
@@ -18,7 +18,7 @@
 import ironwind.model.Span;
 import ironwind.net.Counters.Count;
 import ironwind.pg.Encoder;
-import ironwind.pg.PgFault;
+import ironwind.pg.PgException;
 import ironwind.pg.Statement;
 import ironwind.start.Address;
 import ironwind.start.Names;
@@ -269,7 +269,7 @@
                 client.cut();
             } else if (why == Reason.TOO_SLOW) {
                 keeper.count(why);
-                client.fail(new PgFault(why.code, why.words));
+                client.fail(new PgException(why.code, why.words));
             } else {
                 giveWay(due, why);
             }
@@ -390,7 +390,7 @@
         timers.soon(action);
     }
 
-    void malformed(PgFault fault) {
+    void malformed(PgException fault) {
         counters.add(Count.MALFORMED);
         log.warn("client_malformed", "code", fault.code, "what", fault.getMessage());
     }
@@ -412,7 +412,7 @@
 
     // ---- commands
 
-    /** Takes one command; a {@link PgFault} tells what is wrong with it. */
+    /** Takes one command; a {@link PgException} tells what is wrong with it. */
     void command(ClientConnection client, String sql) {
         Statement statement = Statement.parse(sql);
         if (!statement.facts().isEmpty()) {
@@ -427,8 +427,8 @@
         } else {
             byte[] table = show.answerTo(statement.text());
             if (table == null) {
-                throw new PgFault(
-                        PgFault.UNSUPPORTED,
+                throw new PgException(
+                        PgException.UNSUPPORTED,
                         "a statement must say what it is in a comment before it");
             }
             client.add(null, 0).answer(table);
@@ -449,8 +449,8 @@
                         : known(names.customers().get(statement.need("t")), "t");
         Span waits = Span.ofMillis(statement.needWhole("d", 1, LONGEST_MS));
         if (waits.longerThan(method.deadline().times(MOST_DEADLINES))) {
-            throw new PgFault(
-                    PgFault.SYNTAX,
+            throw new PgException(
+                    PgException.SYNTAX,
                     "the comment's d is far beyond its method's deadline: " + waits.us());
         }
         if (method.effect() == Effect.TOKENED) {
@@ -482,7 +482,8 @@
 
     private static <T> T known(T value, String fact) {
         if (value == null) {
-            throw new PgFault(PgFault.SYNTAX, "the comment's " + fact + " names nothing known");
+            throw new PgException(
+                    PgException.SYNTAX, "the comment's " + fact + " names nothing known");
         }
         return value;
     }
--- a/router/src/main/java/ironwind/net/Ending.java
+++ b/router/src/main/java/ironwind/net/Ending.java
@@ -1,7 +1,7 @@
 package ironwind.net;
 
 import ironwind.model.Outcome;
-import ironwind.pg.Failure;
+import ironwind.pg.PgError;
 
 /** Every way in which a connection, or one use of it, can end. */
 public enum Ending {
@@ -56,10 +56,10 @@
     }
 
     /** How an answer that is an error ends the use of its connection. */
-    static Ending of(Failure failure) {
+    static Ending of(PgError failure) {
         return switch (failure.code()) {
-            case Failure.MISPLACED_WRITE, Failure.TOO_FAR_BEHIND -> MISSED;
-            case Failure.TOO_MANY, Failure.NOT_NOW -> TURNED_AWAY;
+            case PgError.MISPLACED_WRITE, PgError.TOO_FAR_BEHIND -> MISSED;
+            case PgError.TOO_MANY, PgError.NOT_NOW -> TURNED_AWAY;
             default -> FAILED;
         };
     }
--- a/router/src/main/java/ironwind/net/HostConnection.java
+++ b/router/src/main/java/ironwind/net/HostConnection.java
@@ -3,9 +3,9 @@
 import ironwind.model.Moment;
 import ironwind.pg.Encoder;
 import ironwind.pg.Frame;
-import ironwind.pg.Frames;
+import ironwind.pg.FrameDecoder;
 import ironwind.pg.HostMessage;
-import ironwind.pg.PgFault;
+import ironwind.pg.PgException;
 import java.io.IOException;
 import java.net.ConnectException;
 
@@ -16,7 +16,7 @@
 
     final String hostId;
     private final HostConnections pool;
-    private final Frames frames;
+    private final FrameDecoder frames;
     private LoopSocket socket;
     private boolean up;
     private boolean closed;
@@ -53,7 +53,7 @@
     HostConnection(String hostId, HostConnections pool, Use use) {
         this.hostId = hostId;
         this.pool = pool;
-        this.frames = new Frames(false, HostMessage.TYPES, pool.longestMessage);
+        this.frames = new FrameDecoder(false, HostMessage.TYPES, pool.longestMessage);
         this.use = use;
     }
 
@@ -154,7 +154,7 @@
                             stuck();
                         });
             }
-        } catch (PgFault fault) {
+        } catch (PgException fault) {
             spoilt(fault);
         }
     }
@@ -201,7 +201,7 @@
         }
     }
 
-    private void spoilt(PgFault fault) {
+    private void spoilt(PgException fault) {
         pool.garbled(this, fault);
         end(wasWritten() ? Ending.GARBLED : Ending.BROKE_UNWRITTEN);
     }
@@ -212,7 +212,7 @@
      */
     private void stuck() {
         if (!closed && frames.midway()) {
-            spoilt(new PgFault(PgFault.PROTOCOL, "a message stays without its end"));
+            spoilt(new PgException(PgException.PROTOCOL, "a message stays without its end"));
         }
     }
 
@@ -221,7 +221,7 @@
             up = true;
             word = new HostWord();
             if (frames.midway()) {
-                throw new PgFault(PgFault.PROTOCOL, "more than a welcome");
+                throw new PgException(PgException.PROTOCOL, "more than a welcome");
             } else if (use == null) {
                 pool.idle(this);
             } else {
--- a/router/src/main/java/ironwind/net/HostConnections.java
+++ b/router/src/main/java/ironwind/net/HostConnections.java
@@ -6,7 +6,7 @@
 import ironwind.model.Moment;
 import ironwind.model.Span;
 import ironwind.net.Counters.Count;
-import ironwind.pg.PgFault;
+import ironwind.pg.PgException;
 import ironwind.start.Address;
 import ironwind.start.StartFacts;
 import java.io.IOException;
@@ -258,7 +258,7 @@
         timers.after(connectTime, action);
     }
 
-    void garbled(HostConnection connection, PgFault fault) {
+    void garbled(HostConnection connection, PgException fault) {
         log.warn("host_garbled", "host", connection.hostId, "what", fault.getMessage());
     }
 
--- a/router/src/main/java/ironwind/net/HostWord.java
+++ b/router/src/main/java/ironwind/net/HostWord.java
@@ -4,7 +4,7 @@
 import ironwind.model.Role;
 import ironwind.model.Span;
 import ironwind.pg.HostMessage;
-import ironwind.pg.PgFault;
+import ironwind.pg.PgException;
 import ironwind.pg.Row;
 import java.math.BigDecimal;
 import java.math.RoundingMode;
@@ -27,7 +27,7 @@
     private Ending failed;
     private final Map<String, String> parameters = new HashMap<>();
 
-    /** A {@link PgFault} tells what does not belong into one answer, or not at its place. */
+    /** A {@link PgException} tells what does not belong into one answer, or not at its place. */
     void hear(HostMessage message) {
         if (message instanceof HostMessage.Parameter parameter) {
             parameters.put(parameter.name(), parameter.value());
@@ -49,7 +49,8 @@
             failed = Ending.of(error.failure());
         }
         if (!inPlace) {
-            throw new PgFault(PgFault.PROTOCOL, "an answer's messages come out of their order");
+            throw new PgException(
+                    PgException.PROTOCOL, "an answer's messages come out of their order");
         }
     }
 
--- a/router/src/main/java/ironwind/net/LogicTask.java
+++ b/router/src/main/java/ironwind/net/LogicTask.java
@@ -15,8 +15,8 @@
 import ironwind.model.Span;
 import ironwind.net.Counters.Count;
 import ironwind.pg.Encoder;
-import ironwind.pg.Failure;
-import ironwind.pg.PgFault;
+import ironwind.pg.PgError;
+import ironwind.pg.PgException;
 import ironwind.start.StartFacts;
 import java.util.HashMap;
 import java.util.List;
@@ -32,10 +32,10 @@
  * all that waits there at one time, settles once, and carries out what the module asks for.
  */
 final class LogicTask implements Outbound {
-    private static final Failure PUSHED_BACK =
-            new Failure(Failure.TOO_MANY, "pushed back: try again later", null);
-    private static final Failure ABORTED =
-            new Failure(Failure.OUTCOME_UNKNOWN, "aborted: it may or may not have run", null);
+    private static final PgError PUSHED_BACK =
+            new PgError(PgError.TOO_MANY, "pushed back: try again later", null);
+    private static final PgError ABORTED =
+            new PgError(PgError.OUTCOME_UNKNOWN, "aborted: it may or may not have run", null);
 
     private static final Moment FAR = new Moment(Long.MAX_VALUE / 4);
 
@@ -195,10 +195,11 @@
     /** What cannot be taken: an id that is open already, or a group that no list has named. */
     void check(Asked asked) {
         if (openIds.containsKey(asked.id)) {
-            throw new PgFault(PgFault.SYNTAX, "the comment's id is that of another open request");
+            throw new PgException(
+                    PgException.SYNTAX, "the comment's id is that of another open request");
         }
         if (logic.group(asked.group) == null) {
-            throw new PgFault(PgFault.SYNTAX, "the comment's cluster names nothing known");
+            throw new PgException(PgException.SYNTAX, "the comment's cluster names nothing known");
         }
     }
 
@@ -339,7 +340,7 @@
         answer(
                 rpc,
                 Count.PUSHED_BACK,
-                new Failure(PUSHED_BACK.code(), PUSHED_BACK.message(), Timers.told(comeBackAfter)));
+                new PgError(PUSHED_BACK.code(), PUSHED_BACK.message(), Timers.told(comeBackAfter)));
     }
 
     @Override
@@ -347,7 +348,7 @@
         answer(rpc, Count.ABORTED, ABORTED);
     }
 
-    private void answer(Rpc rpc, Count count, Failure failure) {
+    private void answer(Rpc rpc, Count count, PgError failure) {
         answer(exchanges.get(rpc), count, Encoder.failure(failure));
         forget(rpc);
     }
--- a/router/src/main/java/ironwind/pg/ClientMessage.java
+++ b/router/src/main/java/ironwind/pg/ClientMessage.java
@@ -31,28 +31,29 @@
         byte[] body = frame.body();
         return switch (frame.type()) {
             case Frame.STARTUP -> startup(body);
-            case 'Q' -> new Query(Pg.wholeText(body));
+            case 'Q' -> new Query(WireFormat.wholeText(body));
             case 'X' -> new Terminate();
             case 'S' -> new Sync();
             case 'P', 'B', 'D', 'E', 'C', 'H', 'F' -> new Extended();
             default ->
-                    throw new PgFault(
-                            PgFault.PROTOCOL, "no message has the type " + (int) frame.type());
+                    throw new PgException(
+                            PgException.PROTOCOL, "no message has the type " + (int) frame.type());
         };
     }
 
     private static ClientMessage startup(byte[] body) {
         if (body.length < 4) {
-            throw new PgFault(PgFault.PROTOCOL, "the start-up message is too short");
+            throw new PgException(PgException.PROTOCOL, "the start-up message is too short");
         }
-        int version = Pg.int4(body, 0);
+        int version = WireFormat.int4(body, 0);
         return switch (version) {
             case CANCEL -> new CancelRequest();
             case SSL, GSS -> new Encryption();
             default -> {
                 if (version >> 16 != VERSION_3) {
-                    throw new PgFault(
-                            PgFault.UNSUPPORTED, "only version 3 of the protocol is spoken here");
+                    throw new PgException(
+                            PgException.UNSUPPORTED,
+                            "only version 3 of the protocol is spoken here");
                 }
                 yield new Startup();
             }
--- a/router/src/main/java/ironwind/pg/Encoder.java
+++ b/router/src/main/java/ironwind/pg/Encoder.java
@@ -6,7 +6,7 @@
 
 /** Messages as bytes: first what a server says, then what a client says. */
 public final class Encoder {
-    private static final byte[] READY = new Writer().begin('Z').int1('I').end().bytes();
+    private static final byte[] READY = new MessageWriter().begin('Z').int1('I').end().bytes();
     private static final int LENGTH_BYTES = 4;
     private static final int VERSION = ClientMessage.VERSION_3 << 16;
 
@@ -14,7 +14,7 @@
 
     /** The answer to a start-up message, up to the first ReadyForQuery. */
     public static byte[] welcome() {
-        return new Writer()
+        return new MessageWriter()
                 .begin('R')
                 .int4(0)
                 .end()
@@ -45,7 +45,7 @@
 
     /** A table of text: a row for each list, as many values in each as there are columns. */
     public static byte[] table(List<String> columns, List<List<String>> rows) {
-        Writer writer = new Writer().begin('T').int2(columns.size());
+        MessageWriter writer = new MessageWriter().begin('T').int2(columns.size());
         columns.forEach(
                 column ->
                         writer.text(column)
@@ -73,7 +73,7 @@
 
     /** A row, and parameters that changed with it. */
     public static byte[] row(Row row, Map<String, String> parameters) {
-        Writer writer = afterValue(beforeValue(row).raw(row.data()), row);
+        MessageWriter writer = afterValue(beforeValue(row).raw(row.data()), row);
         parameters.forEach((name, value) -> writer.begin('S').text(name).text(value).end());
         return writer.raw(READY).bytes();
     }
@@ -81,12 +81,14 @@
     /** A row in parts, so that a large value is not copied. */
     public static byte[][] rowInParts(Row row) {
         return new byte[][] {
-            beforeValue(row).bytes(), row.data(), afterValue(new Writer(), row).raw(READY).bytes()
+            beforeValue(row).bytes(),
+            row.data(),
+            afterValue(new MessageWriter(), row).raw(READY).bytes()
         };
     }
 
-    private static Writer beforeValue(Row row) {
-        return new Writer()
+    private static MessageWriter beforeValue(Row row) {
+        return new MessageWriter()
                 .begin('T')
                 .raw(row.description())
                 .end()
@@ -94,27 +96,27 @@
                 .int4(LENGTH_BYTES + row.data().length);
     }
 
-    private static Writer afterValue(Writer writer, Row row) {
+    private static MessageWriter afterValue(MessageWriter writer, Row row) {
         return writer.begin('C').text(row.tag()).end();
     }
 
-    public static byte[] failure(Failure failure) {
+    public static byte[] failure(PgError failure) {
         return failure(failure, "ERROR").raw(READY).bytes();
     }
 
     /** An error that no ReadyForQuery follows yet. */
-    public static byte[] error(Failure failure) {
+    public static byte[] error(PgError failure) {
         return failure(failure, "ERROR").bytes();
     }
 
     /** An error after which the connection is closed. */
-    public static byte[] fatal(Failure failure) {
+    public static byte[] fatal(PgError failure) {
         return failure(failure, "FATAL").bytes();
     }
 
-    private static Writer failure(Failure failure, String severity) {
-        Writer writer =
-                new Writer()
+    private static MessageWriter failure(PgError failure, String severity) {
+        MessageWriter writer =
+                new MessageWriter()
                         .begin('E')
                         .int1('S')
                         .text(severity)
@@ -131,7 +133,7 @@
     }
 
     public static byte[] emptyQuery() {
-        return new Writer().begin('I').end().raw(READY).bytes();
+        return new MessageWriter().begin('I').end().raw(READY).bytes();
     }
 
     public static byte[] ready() {
@@ -139,7 +141,7 @@
     }
 
     public static byte[] startup(String user, String database) {
-        return new Writer()
+        return new MessageWriter()
                 .begin(Frame.STARTUP)
                 .int4(VERSION)
                 .text("user")
@@ -152,6 +154,6 @@
     }
 
     public static byte[] query(String sql) {
-        return new Writer().begin('Q').text(sql).end().bytes();
+        return new MessageWriter().begin('Q').text(sql).end().bytes();
     }
 }
--- a/router/src/main/java/ironwind/pg/Frames.java
+++ b/router/src/main/java/ironwind/pg/FrameDecoder.java
@@ -3,7 +3,7 @@
 import java.util.Arrays;
 
 /** Cuts what comes in, split or joined at any byte, into messages. */
-public final class Frames {
+public final class FrameDecoder {
     private static final int LENGTH_BYTES = 4;
     private static final byte[] NOTHING = {};
 
@@ -24,7 +24,7 @@
      * {@code startup}: the first message bears no type. The types that others may have; their
      * bodies may have {@code longest} bytes.
      */
-    public Frames(boolean startup, String types, int longest) {
+    public FrameDecoder(boolean startup, String types, int longest) {
         this.startup = startup;
         this.types = types;
         this.longest = longest;
@@ -59,7 +59,7 @@
         int head = startup ? 0 : 1;
         return to - from < head + LENGTH_BYTES
                 ? 0
-                : head + Math.max(0, Pg.int4(bytes, from + head));
+                : head + Math.max(0, WireFormat.int4(bytes, from + head));
     }
 
     /**
@@ -69,19 +69,20 @@
     public Frame next() {
         int head = startup ? 0 : 1;
         if (!startup && from < to && types.indexOf(bytes[from] & 0xff) < 0) {
-            throw new PgFault(PgFault.PROTOCOL, "no message has the type " + (bytes[from] & 0xff));
+            throw new PgException(
+                    PgException.PROTOCOL, "no message has the type " + (bytes[from] & 0xff));
         }
         if (to - from < head + LENGTH_BYTES) {
             return null;
         }
-        int length = Pg.int4(bytes, from + head) - LENGTH_BYTES;
+        int length = WireFormat.int4(bytes, from + head) - LENGTH_BYTES;
         if (length < 0) {
-            throw new PgFault(PgFault.PROTOCOL, "a message has a negative length");
+            throw new PgException(PgException.PROTOCOL, "a message has a negative length");
         }
         int most = startup ? Math.min(LONGEST_STARTUP, longest) : longest;
         if (length > most) {
-            throw new PgFault(
-                    PgFault.TOO_LARGE,
+            throw new PgException(
+                    PgException.TOO_LARGE,
                     "a message has " + length + " bytes, " + most + " are allowed");
         }
         int body = from + head + LENGTH_BYTES;
--- a/router/src/main/java/ironwind/pg/HostMessage.java
+++ b/router/src/main/java/ironwind/pg/HostMessage.java
@@ -25,7 +25,7 @@
 
     record Complete(String tag) implements HostMessage {}
 
-    record Failed(Failure failure) implements HostMessage {}
+    record Failed(PgError failure) implements HostMessage {}
 
     /** What needs no reply and changes nothing, such as a notice. */
     record Skipped() implements HostMessage {}
@@ -44,14 +44,14 @@
             case 'Z' -> ready(body);
             case 'N', 'K', 'I', 'A', 'v' -> new Skipped();
             default ->
-                    throw new PgFault(
-                            PgFault.PROTOCOL, "no message has the type " + (int) frame.type());
+                    throw new PgException(
+                            PgException.PROTOCOL, "no message has the type " + (int) frame.type());
         };
     }
 
     private static HostMessage welcome(byte[] body) {
         if (!Arrays.equals(body, new byte[4])) {
-            throw new PgFault(PgFault.UNSUPPORTED, "the host asks for a password");
+            throw new PgException(PgException.UNSUPPORTED, "the host asks for a password");
         }
         return new Welcome();
     }
@@ -59,9 +59,9 @@
     /** What can't be read is passed over: the answer that it came with is as good as without it. */
     private static HostMessage parameter(byte[] body) {
         try {
-            String name = Pg.text(body, 0);
-            return new Parameter(name, Pg.text(body, name.length() + 1));
-        } catch (PgFault unreadable) {
+            String name = WireFormat.text(body, 0);
+            return new Parameter(name, WireFormat.text(body, name.length() + 1));
+        } catch (PgException unreadable) {
             return new Skipped();
         }
     }
@@ -71,7 +71,7 @@
                 body.length > 2
                         && body[0] == 0
                         && body[1] == 1
-                        && Pg.text(body, 2).length() + 1 + COLUMN_BYTES == body.length - 2;
+                        && WireFormat.text(body, 2).length() + 1 + COLUMN_BYTES == body.length - 2;
         return check(one, body, "a description is not that of one column");
     }
 
@@ -80,7 +80,7 @@
                 body.length >= ROW_HEAD_BYTES
                         && body[0] == 0
                         && body[1] == 1
-                        && Math.max(0, Pg.int4(body, 2)) == body.length - ROW_HEAD_BYTES;
+                        && Math.max(0, WireFormat.int4(body, 2)) == body.length - ROW_HEAD_BYTES;
         return check(one, body, "a row does not hold one value");
     }
 
@@ -93,26 +93,26 @@
     }
 
     private static String tag(byte[] body) {
-        String tag = Pg.wholeText(body);
+        String tag = WireFormat.wholeText(body);
         check(TAG.matcher(tag).matches(), body, "no command completes with such a tag");
         return tag;
     }
 
     private static byte[] check(boolean holds, byte[] body, String otherwise) {
         if (!holds) {
-            throw new PgFault(PgFault.PROTOCOL, otherwise);
+            throw new PgException(PgException.PROTOCOL, otherwise);
         }
         return body;
     }
 
-    private static Failure failure(byte[] body) {
+    private static PgError failure(byte[] body) {
         String code = "";
         String message = "";
         String detail = null;
         int at = 0;
         while (at < body.length && body[at] != 0) {
             char field = (char) body[at];
-            String value = Pg.text(body, at + 1);
+            String value = WireFormat.text(body, at + 1);
             at += value.length() + 2;
             switch (field) {
                 case 'C' -> code = value;
@@ -125,6 +125,6 @@
                 at == body.length - 1 && SQLSTATE.matcher(code).matches(),
                 body,
                 "an error has no code that can be read");
-        return new Failure(code, message, detail);
+        return new PgError(code, message, detail);
     }
 }
--- a/router/src/main/java/ironwind/pg/Writer.java
+++ b/router/src/main/java/ironwind/pg/MessageWriter.java
@@ -3,12 +3,12 @@
 import java.util.Arrays;
 
 /** Builds messages one after another. */
-final class Writer {
+final class MessageWriter {
     private byte[] bytes = new byte[128];
     private int size;
     private int lengthAt;
 
-    Writer begin(char type) {
+    MessageWriter begin(char type) {
         if (type != Frame.STARTUP) {
             int1(type);
         }
@@ -16,7 +16,7 @@
         return int4(0);
     }
 
-    Writer end() {
+    MessageWriter end() {
         int length = size - lengthAt;
         bytes[lengthAt] = (byte) (length >> 24);
         bytes[lengthAt + 1] = (byte) (length >> 16);
@@ -25,29 +25,29 @@
         return this;
     }
 
-    Writer int1(int value) {
+    MessageWriter int1(int value) {
         room(1);
         bytes[size++] = (byte) value;
         return this;
     }
 
-    Writer int2(int value) {
+    MessageWriter int2(int value) {
         return int1(value >> 8).int1(value);
     }
 
-    Writer int4(int value) {
+    MessageWriter int4(int value) {
         return int2(value >> 16).int2(value);
     }
 
-    Writer raw(byte[] more) {
+    MessageWriter raw(byte[] more) {
         room(more.length);
         System.arraycopy(more, 0, bytes, size, more.length);
         size += more.length;
         return this;
     }
 
-    Writer text(String text) {
-        return raw(text.getBytes(Pg.BYTES)).int1(0);
+    MessageWriter text(String text) {
+        return raw(text.getBytes(WireFormat.BYTES)).int1(0);
     }
 
     byte[] bytes() {
--- a/router/src/main/java/ironwind/pg/Failure.java
+++ b/router/src/main/java/ironwind/pg/PgError.java
@@ -1,7 +1,7 @@
 package ironwind.pg;
 
 /** An ErrorResponse: its SQLSTATE, message, and the field D, null where it has none. */
-public record Failure(String code, String message, String detail) {
+public record PgError(String code, String message, String detail) {
     public static final String TOO_MANY = "53300";
     public static final String NOT_NOW = "57P03";
     public static final String MISPLACED_WRITE = "25006";
--- a/router/src/main/java/ironwind/pg/PgFault.java
+++ b/router/src/main/java/ironwind/pg/PgException.java
@@ -1,7 +1,7 @@
 package ironwind.pg;
 
 /** Something that PostgreSQL's protocol, or this router's part of it, has no place for. */
-public final class PgFault extends RuntimeException {
+public final class PgException extends RuntimeException {
     public static final String PROTOCOL = "08P01";
     public static final String TOO_LARGE = "54000";
     public static final String UNSUPPORTED = "0A000";
@@ -11,7 +11,7 @@
 
     public final String code;
 
-    public PgFault(String code, String what) {
+    public PgException(String code, String what) {
         super(what, null, false, false);
         this.code = code;
     }
--- a/router/src/main/java/ironwind/pg/Row.java
+++ b/router/src/main/java/ironwind/pg/Row.java
@@ -12,7 +12,7 @@
     public static Row ofText(String column, String value) {
         byte[] text = value.getBytes(StandardCharsets.UTF_8);
         byte[] description =
-                new Writer()
+                new MessageWriter()
                         .int2(1)
                         .text(column)
                         .int4(0)
@@ -23,12 +23,14 @@
                         .int2(0)
                         .bytes();
         return new Row(
-                description, new Writer().int2(1).int4(text.length).raw(text).bytes(), "SELECT 1");
+                description,
+                new MessageWriter().int2(1).int4(text.length).raw(text).bytes(),
+                "SELECT 1");
     }
 
     /** Its value as text, or null. */
     public String text() {
-        int length = data.length < 6 ? -1 : Pg.int4(data, 2);
+        int length = data.length < 6 ? -1 : WireFormat.int4(data, 2);
         return length < 0 || length > data.length - 6
                 ? null
                 : new String(data, 6, length, StandardCharsets.UTF_8);
--- a/router/src/main/java/ironwind/pg/Statement.java
+++ b/router/src/main/java/ironwind/pg/Statement.java
@@ -18,7 +18,7 @@
         }
         int close = trimmed.indexOf(CLOSE, OPEN.length());
         if (close < 0) {
-            throw new PgFault(PgFault.SYNTAX, "the comment has no end");
+            throw new PgException(PgException.SYNTAX, "the comment has no end");
         }
         Map<String, String> facts = new LinkedHashMap<>();
         for (String pair : trimmed.substring(OPEN.length(), close).strip().split(",")) {
@@ -28,7 +28,7 @@
                                     pair.substring(0, equals).strip(),
                                     pair.substring(equals + 1).strip())
                             != null) {
-                throw new PgFault(PgFault.SYNTAX, "the comment names something twice");
+                throw new PgException(PgException.SYNTAX, "the comment names something twice");
             }
         }
         return new Statement(facts, trimmed.substring(close + CLOSE.length()).strip());
@@ -54,7 +54,7 @@
     public String need(String name) {
         String value = facts.get(name);
         if (value == null || value.isEmpty()) {
-            throw new PgFault(PgFault.SYNTAX, "the comment has no " + name);
+            throw new PgException(PgException.SYNTAX, "the comment has no " + name);
         }
         return value;
     }
@@ -69,8 +69,8 @@
         } catch (NumberFormatException e) {
             // told below, as what is out of range is
         }
-        throw new PgFault(
-                PgFault.SYNTAX,
+        throw new PgException(
+                PgException.SYNTAX,
                 "the comment's "
                         + name
                         + " is no whole number in its range: "
@@ -94,6 +94,6 @@
                 return key.toString();
             }
         }
-        throw new PgFault(PgFault.SYNTAX, "a quoted text has no end");
+        throw new PgException(PgException.SYNTAX, "a quoted text has no end");
     }
 }
--- a/router/src/main/java/ironwind/pg/Pg.java
+++ b/router/src/main/java/ironwind/pg/WireFormat.java
@@ -4,7 +4,7 @@
 import java.nio.charset.StandardCharsets;
 
 /** What the messages of both directions share. */
-public final class Pg {
+public final class WireFormat {
     /** One char a byte, so that any text passes through as it came. */
     static final Charset BYTES = StandardCharsets.ISO_8859_1;
 
@@ -14,7 +14,7 @@
     /** A value may stand in hexadecimal, with words round it. */
     public static final int LARGEST_MESSAGE = 2 * LARGEST_VALUE + 4_096;
 
-    private Pg() {}
+    private WireFormat() {}
 
     static int int4(byte[] bytes, int at) {
         return (bytes[at] & 0xff) << 24
@@ -27,7 +27,7 @@
     static String wholeText(byte[] bytes) {
         String text = text(bytes, 0);
         if (text.length() != bytes.length - 1) {
-            throw new PgFault(PgFault.PROTOCOL, "a text ends before its message");
+            throw new PgException(PgException.PROTOCOL, "a text ends before its message");
         }
         return text;
     }
@@ -39,7 +39,7 @@
             end++;
         }
         if (end >= bytes.length) {
-            throw new PgFault(PgFault.PROTOCOL, "a text has no end");
+            throw new PgException(PgException.PROTOCOL, "a text has no end");
         }
         return new String(bytes, at, end - at, BYTES);
     }
--- a/router/src/test/java/ironwind/net/EndingTest.java
+++ b/router/src/test/java/ironwind/net/EndingTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import ironwind.model.Outcome;
-import ironwind.pg.Failure;
+import ironwind.pg.PgError;
 import java.util.EnumSet;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
@@ -61,6 +61,6 @@
         "08P01, FAILED"
     })
     void errorsAreToldBySqlstate(String code, Ending ending) {
-        assertThat(Ending.of(new Failure(code, "", null))).isEqualTo(ending);
+        assertThat(Ending.of(new PgError(code, "", null))).isEqualTo(ending);
     }
 }
--- a/router/src/test/java/ironwind/net/RouterTest.java
+++ b/router/src/test/java/ironwind/net/RouterTest.java
@@ -12,10 +12,10 @@
 import ironwind.model.Span;
 import ironwind.pg.ClientMessage;
 import ironwind.pg.Encoder;
-import ironwind.pg.Failure;
 import ironwind.pg.Frame;
-import ironwind.pg.Frames;
+import ironwind.pg.FrameDecoder;
 import ironwind.pg.HostMessage;
+import ironwind.pg.PgError;
 import ironwind.pg.Row;
 import ironwind.pg.Statement;
 import ironwind.start.StartFacts;
@@ -716,8 +716,8 @@
     /** One end of a connection, read message by message. */
     private static final class Wire implements AutoCloseable {
         private final Socket socket;
-        private final Frames frames =
-                new Frames(false, HostMessage.TYPES + ClientMessage.TYPES, 1 << 20);
+        private final FrameDecoder frames =
+                new FrameDecoder(false, HostMessage.TYPES + ClientMessage.TYPES, 1 << 20);
         private byte[] lastData;
 
         Wire(Socket socket) {
@@ -828,7 +828,7 @@
                         case "no room" ->
                                 wire.send(
                                         Encoder.fatal(
-                                                new Failure("53300", "no connection left", null)));
+                                                new PgError("53300", "no connection left", null)));
                         case "babble" ->
                                 wire.send("what is this?".getBytes(StandardCharsets.UTF_8));
                         default -> {}
@@ -870,9 +870,9 @@
                     released.await();
                     row(wire, Encoder.ready());
                 }
-                case "full" -> wire.send(Encoder.failure(new Failure("53300", "full", null)));
-                case "miss" -> wire.send(Encoder.failure(new Failure("25006", "no primary", null)));
-                case "error" -> wire.send(Encoder.failure(new Failure("XX000", "broken", null)));
+                case "full" -> wire.send(Encoder.failure(new PgError("53300", "full", null)));
+                case "miss" -> wire.send(Encoder.failure(new PgError("25006", "no primary", null)));
+                case "error" -> wire.send(Encoder.failure(new PgError("XX000", "broken", null)));
                 case "two rows" -> {
                     byte[] whole = Encoder.row(Row.ofText("val", "x"));
                     wire.send(Arrays.copyOf(whole, whole.length - 6 - 14));
--- a/router/src/test/java/ironwind/pg/PgTest.java
+++ b/router/src/test/java/ironwind/pg/PgTest.java
@@ -32,7 +32,7 @@
     }
 
     private static List<ClientMessage> messages(byte[]... pieces) {
-        Frames frames = new Frames(true, ClientMessage.TYPES, 200);
+        FrameDecoder frames = new FrameDecoder(true, ClientMessage.TYPES, 200);
         List<ClientMessage> found = new ArrayList<>();
         for (byte[] piece : pieces) {
             frames.add(piece);
@@ -91,7 +91,7 @@
     void badMessagesAreToldBySqlstate(String hex, String code) {
         assertThatThrownBy(() -> messages(bytes(hex)))
                 .isInstanceOfSatisfying(
-                        PgFault.class, fault -> assertThat(fault.code).isEqualTo(code));
+                        PgException.class, fault -> assertThat(fault.code).isEqualTo(code));
     }
 
     @ParameterizedTest(name = "{0}: {1}")
@@ -107,7 +107,8 @@
     }
 
     private static List<HostMessage> hostMessages(byte[] bytes) {
-        Frames frames = new Frames(false, HostMessage.TYPES, Pg.LARGEST_MESSAGE);
+        FrameDecoder frames =
+                new FrameDecoder(false, HostMessage.TYPES, WireFormat.LARGEST_MESSAGE);
         frames.add(bytes);
         List<HostMessage> found = new ArrayList<>();
         for (Frame frame = frames.next(); frame != null; frame = frames.next()) {
@@ -137,11 +138,11 @@
 
     @Test
     void failuresKeepCodeMessageAndDetail() {
-        Failure failure = new Failure(Failure.TOO_MANY, "full", "250");
+        PgError failure = new PgError(PgError.TOO_MANY, "full", "250");
         assertThat(hostMessages(Encoder.failure(failure)))
                 .containsExactly(new HostMessage.Failed(failure), new HostMessage.Ready());
-        assertThat(hostMessages(Encoder.fatal(new Failure("08P01", "no", null))))
-                .containsExactly(new HostMessage.Failed(new Failure("08P01", "no", null)));
+        assertThat(hostMessages(Encoder.fatal(new PgError("08P01", "no", null))))
+                .containsExactly(new HostMessage.Failed(new PgError("08P01", "no", null)));
         assertThat(Row.ofText("stats", "a=1").text()).isEqualTo("a=1");
     }
 
@@ -191,6 +192,7 @@
                             statement.key();
                         })
                 .isInstanceOfSatisfying(
-                        PgFault.class, fault -> assertThat(fault.code).isEqualTo(PgFault.SYNTAX));
+                        PgException.class,
+                        fault -> assertThat(fault.code).isEqualTo(PgException.SYNTAX));
     }
 }
--- a/standin/src/main/java/ironwind/standin/StandInHost.java
+++ b/standin/src/main/java/ironwind/standin/StandInHost.java
@@ -3,10 +3,10 @@
 import ironwind.pg.ClientMessage;
 import ironwind.pg.Encoder;
 import ironwind.pg.Frame;
-import ironwind.pg.Frames;
-import ironwind.pg.Pg;
+import ironwind.pg.FrameDecoder;
 import ironwind.pg.Row;
 import ironwind.pg.Statement;
+import ironwind.pg.WireFormat;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.HashMap;
@@ -63,7 +63,8 @@
     }
 
     private final class Connection implements Loop.Handler {
-        private final Frames frames = new Frames(true, ClientMessage.TYPES, Pg.LARGEST_MESSAGE);
+        private final FrameDecoder frames =
+                new FrameDecoder(true, ClientMessage.TYPES, WireFormat.LARGEST_MESSAGE);
 
         @Override
         public void received(Link link, byte[] bytes) {
