--- a/lab/src/main/java/ironwind/lab/LabClient.java
+++ b/lab/src/main/java/ironwind/lab/LabClient.java
@@ -120,15 +120,15 @@
                 default -> {}
             }
         }
-        if (!frames.midway()) {
+        if (!frames.hasBufferedBytes()) {
             frames = null;
         }
     }
 
     private static boolean isPushback(Frame frame) {
-        return HostMessage.decode(frame) instanceof HostMessage.Failed failed
-                && (failed.failure().code().equals("53300")
-                        || failed.failure().code().equals("57P03"));
+        return HostMessage.decode(frame) instanceof HostMessage.ErrorResponse failed
+                && (failed.error().sqlState().equals("53300")
+                        || failed.error().sqlState().equals("57P03"));
     }
 
     private void ready() {
--- a/lab/src/test/java/ironwind/lab/Talk.java
+++ b/lab/src/test/java/ironwind/lab/Talk.java
@@ -93,9 +93,9 @@
                     row = true;
                     values(frame.body());
                 } else if (frame.type() == 'E'
-                        && HostMessage.decode(frame) instanceof HostMessage.Failed failed) {
-                    String detail = failed.failure().detail();
-                    error = "E" + failed.failure().code() + (detail == null ? "" : " " + detail);
+                        && HostMessage.decode(frame) instanceof HostMessage.ErrorResponse failed) {
+                    String detail = failed.error().detail();
+                    error = "E" + failed.error().sqlState() + (detail == null ? "" : " " + detail);
                 } else if (frame.type() == 'Z') {
                     return error.isEmpty() ? row ? "ok" : "ready" : error;
                 }
--- a/router/src/main/java/ironwind/net/ClientConnection.java
+++ b/router/src/main/java/ironwind/net/ClientConnection.java
@@ -98,7 +98,8 @@
         if (bytes.length > 0 && closing != Ending.CLIENT_MALFORMED) {
             if (frames == null) {
                 frames =
-                        new FrameDecoder(!started, ClientMessage.TYPES, WireFormat.LARGEST_MESSAGE);
+                        new FrameDecoder(
+                                !started, ClientMessage.TYPES, WireFormat.MAX_MESSAGE_BYTES);
             }
             frames.add(bytes);
             proceed();
@@ -146,7 +147,7 @@
 
     /** What is left of the bytes that came is lent; where nothing is, nothing is held. */
     private void keep() {
-        int size = frames == null ? 0 : frames.held();
+        int size = frames == null ? 0 : frames.bufferCapacity();
         if (size == 0) {
             frames = null;
         }
@@ -165,21 +166,22 @@
             command(query.sql());
         } else if (message instanceof ClientMessage.Startup) {
             started = true;
-            frames.started();
-            write(Encoder.welcome());
-        } else if (message instanceof ClientMessage.Encryption) {
-            write(Encoder.noEncryption());
-        } else if (message instanceof ClientMessage.Extended) {
+            frames.startupDone();
+            write(Encoder.startupResponse());
+        } else if (message instanceof ClientMessage.EncryptionRequest) {
+            write(Encoder.encryptionRejected());
+        } else if (message instanceof ClientMessage.ExtendedQuery) {
             if (!skipping) {
                 skipping = true;
                 refuse(
                         new PgException(
-                                PgException.UNSUPPORTED, "only simple queries are spoken here"),
+                                PgException.FEATURE_NOT_SUPPORTED,
+                                "only simple queries are spoken here"),
                         Encoder::error);
             }
         } else if (message instanceof ClientMessage.Sync) {
             skipping = false;
-            add(null, 0).answer(Encoder.ready());
+            add(null, 0).answer(Encoder.readyForQuery());
         } else {
             closed(Ending.CLIENT_LEFT);
         }
@@ -196,7 +198,7 @@
         try {
             clients.command(this, sql);
         } catch (PgException fault) {
-            refuse(fault, Encoder::failure);
+            refuse(fault, Encoder::errorAndReady);
         }
     }
 
@@ -205,18 +207,18 @@
     /** The error that is owed in place of an answer, in one of the encoder's forms. */
     private void refuse(PgException fault, Function<PgError, byte[]> form) {
         clients.malformed(fault);
-        add(null, 0).answer(form.apply(new PgError(fault.code, fault.getMessage(), null)));
+        add(null, 0).answer(form.apply(new PgError(fault.sqlState, fault.getMessage(), null)));
     }
 
     /** The connection ends in an error, after the answers that are owed before it. */
     void fail(PgException fault) {
-        endWith(() -> refuse(fault, Encoder::fatal));
+        endWith(() -> refuse(fault, Encoder::fatalError));
     }
 
     /** The same for a reason of ours; {@code comeBack} tells when another try makes sense. */
     void turnAway(Reason reason, Span comeBack) {
         PgError failure = new PgError(reason.code, reason.words, Timers.told(comeBack));
-        endWith(() -> add(null, 0).answer(Encoder.fatal(failure)));
+        endWith(() -> add(null, 0).answer(Encoder.fatalError(failure)));
     }
 
     private void endWith(Runnable error) {
--- a/router/src/main/java/ironwind/net/Clients.java
+++ b/router/src/main/java/ironwind/net/Clients.java
@@ -154,7 +154,7 @@
     void ready() {
         ready = true;
         timers.after(limits.startupTime(), () -> rehearsal = null);
-        askedWhetherReady.forEach(exchange -> exchange.answer(Encoder.emptyQuery()));
+        askedWhetherReady.forEach(exchange -> exchange.answer(Encoder.emptyQueryResponse()));
         askedWhetherReady.clear();
     }
 
@@ -392,7 +392,7 @@
 
     void malformed(PgException fault) {
         counters.add(Count.MALFORMED);
-        log.warn("client_malformed", "code", fault.code, "what", fault.getMessage());
+        log.warn("client_malformed", "code", fault.sqlState, "what", fault.getMessage());
     }
 
     void ended(ClientConnection client, Ending ending, Exchange unanswered) {
@@ -415,12 +415,12 @@
     /** Takes one command; a {@link PgException} tells what is wrong with it. */
     void command(ClientConnection client, String sql) {
         Statement statement = Statement.parse(sql);
-        if (!statement.facts().isEmpty()) {
+        if (!statement.attributes().isEmpty()) {
             rpc(client, statement);
         } else if (statement.text().isEmpty()) {
             Exchange exchange = client.add(null, 0);
             if (ready) {
-                exchange.answer(Encoder.emptyQuery());
+                exchange.answer(Encoder.emptyQueryResponse());
             } else {
                 askedWhetherReady.add(exchange);
             }
@@ -428,7 +428,7 @@
             byte[] table = show.answerTo(statement.text());
             if (table == null) {
                 throw new PgException(
-                        PgException.UNSUPPORTED,
+                        PgException.FEATURE_NOT_SUPPORTED,
                         "a statement must say what it is in a comment before it");
             }
             client.add(null, 0).answer(table);
@@ -442,37 +442,37 @@
             return;
         }
         Names names = facts.names();
-        Method method = known(names.methods().get(statement.need("c")), "c");
+        Method method = known(names.methods().get(statement.required("c")), "c");
         Customer customer =
                 names.customers().isEmpty()
                         ? null
-                        : known(names.customers().get(statement.need("t")), "t");
-        Span waits = Span.ofMillis(statement.needWhole("d", 1, LONGEST_MS));
+                        : known(names.customers().get(statement.required("t")), "t");
+        Span waits = Span.ofMillis(statement.requiredLong("d", 1, LONGEST_MS));
         if (waits.longerThan(method.deadline().times(MOST_DEADLINES))) {
             throw new PgException(
-                    PgException.SYNTAX,
+                    PgException.SYNTAX_ERROR,
                     "the comment's d is far beyond its method's deadline: " + waits.us());
         }
         if (method.effect() == Effect.TOKENED) {
-            statement.need("k");
+            statement.required("k");
         }
         long after =
-                statement.facts().containsKey("after")
-                        ? statement.needWhole("after", 0, LONGEST_MS)
+                statement.attributes().containsKey("after")
+                        ? statement.requiredLong("after", 0, LONGEST_MS)
                         : 0;
         int bytes = OPEN_RPC_BYTES + 2 * statement.text().length();
         Span waited = turns.waited(client, now());
         Span lay = waited.longer(client.lay(lag.at(Clock.read())));
         LogicTask.Asked asked =
                 new LogicTask.Asked(
-                        statement.need("id"),
+                        statement.required("id"),
                         method,
                         customer,
-                        (int) statement.needWhole("cluster", 0, Integer.MAX_VALUE),
-                        statement.key(),
+                        (int) statement.requiredLong("cluster", 0, Integer.MAX_VALUE),
+                        statement.rowKey(),
                         waits,
                         after,
-                        "1".equals(statement.facts().get("r")),
+                        "1".equals(statement.attributes().get("r")),
                         lay,
                         turns.pushesBack(waited, bytes));
         logic.check(asked);
@@ -483,7 +483,7 @@
     private static <T> T known(T value, String fact) {
         if (value == null) {
             throw new PgException(
-                    PgException.SYNTAX, "the comment's " + fact + " names nothing known");
+                    PgException.SYNTAX_ERROR, "the comment's " + fact + " names nothing known");
         }
         return value;
     }
--- a/router/src/main/java/ironwind/net/Ending.java
+++ b/router/src/main/java/ironwind/net/Ending.java
@@ -57,9 +57,9 @@
 
     /** How an answer that is an error ends the use of its connection. */
     static Ending of(PgError failure) {
-        return switch (failure.code()) {
-            case PgError.MISPLACED_WRITE, PgError.TOO_FAR_BEHIND -> MISSED;
-            case PgError.TOO_MANY, PgError.NOT_NOW -> TURNED_AWAY;
+        return switch (failure.sqlState()) {
+            case PgError.READ_ONLY_SQL_TRANSACTION, PgError.SNAPSHOT_TOO_OLD -> MISSED;
+            case PgError.TOO_MANY_CONNECTIONS, PgError.CANNOT_CONNECT_NOW -> TURNED_AWAY;
             default -> FAILED;
         };
     }
--- a/router/src/main/java/ironwind/net/HostConnection.java
+++ b/router/src/main/java/ironwind/net/HostConnection.java
@@ -139,14 +139,14 @@
             for (Frame frame = frames.next(); frame != null && !closed; frame = frames.next()) {
                 pendingLent = 0;
                 HostMessage message = HostMessage.decode(frame);
-                if (message instanceof HostMessage.Ready) {
+                if (message instanceof HostMessage.ReadyForQuery) {
                     ready();
                 } else {
                     word.hear(message);
                 }
             }
             reserve();
-            if (!closed && frames.midway() && !limited) {
+            if (!closed && frames.hasBufferedBytes() && !limited) {
                 limited = true;
                 pool.later(
                         () -> {
@@ -164,7 +164,7 @@
      * or dropped.
      */
     private void reserve() {
-        int more = closed || !frames.midway() ? 0 : frames.wants() - pendingLent;
+        int more = closed || !frames.hasBufferedBytes() ? 0 : frames.expectedBytes() - pendingLent;
         if (more > 0 && needs == 0) {
             needs = more;
             if (pool.lend(this, more)) {
@@ -211,8 +211,10 @@
      * others wait.
      */
     private void stuck() {
-        if (!closed && frames.midway()) {
-            spoilt(new PgException(PgException.PROTOCOL, "a message stays without its end"));
+        if (!closed && frames.hasBufferedBytes()) {
+            spoilt(
+                    new PgException(
+                            PgException.PROTOCOL_VIOLATION, "a message stays without its end"));
         }
     }
 
@@ -220,8 +222,8 @@
         if (!up) {
             up = true;
             word = new HostWord();
-            if (frames.midway()) {
-                throw new PgException(PgException.PROTOCOL, "more than a welcome");
+            if (frames.hasBufferedBytes()) {
+                throw new PgException(PgException.PROTOCOL_VIOLATION, "more than a welcome");
             } else if (use == null) {
                 pool.idle(this);
             } else {
@@ -234,7 +236,7 @@
             asked = false;
             word = new HostWord();
             giveBack();
-            if (frames.midway() || !said.isWhole()) {
+            if (frames.hasBufferedBytes() || !said.isWhole()) {
                 close();
             } else {
                 pool.idle(this);
--- a/router/src/main/java/ironwind/net/HostWord.java
+++ b/router/src/main/java/ironwind/net/HostWord.java
@@ -29,28 +29,28 @@
 
     /** A {@link PgException} tells what does not belong into one answer, or not at its place. */
     void hear(HostMessage message) {
-        if (message instanceof HostMessage.Parameter parameter) {
+        if (message instanceof HostMessage.ParameterStatus parameter) {
             parameters.put(parameter.name(), parameter.value());
             return;
-        } else if (message instanceof HostMessage.Skipped) {
+        } else if (message instanceof HostMessage.Ignored) {
             return;
         }
         boolean inPlace = failed == null && tag == null;
-        if (message instanceof HostMessage.Description part) {
+        if (message instanceof HostMessage.RowDescription part) {
             inPlace &= description == null;
             description = part.body();
-        } else if (message instanceof HostMessage.Data part) {
+        } else if (message instanceof HostMessage.DataRow part) {
             inPlace &= description != null && data == null;
             data = part.body();
-        } else if (message instanceof HostMessage.Complete complete) {
+        } else if (message instanceof HostMessage.CommandComplete complete) {
             inPlace &= data != null;
             tag = complete.tag();
-        } else if (message instanceof HostMessage.Failed error) {
-            failed = Ending.of(error.failure());
+        } else if (message instanceof HostMessage.ErrorResponse error) {
+            failed = Ending.of(error.error());
         }
         if (!inPlace) {
             throw new PgException(
-                    PgException.PROTOCOL, "an answer's messages come out of their order");
+                    PgException.PROTOCOL_VIOLATION, "an answer's messages come out of their order");
         }
     }
 
--- a/router/src/main/java/ironwind/net/LogicTask.java
+++ b/router/src/main/java/ironwind/net/LogicTask.java
@@ -33,9 +33,12 @@
  */
 final class LogicTask implements Outbound {
     private static final PgError PUSHED_BACK =
-            new PgError(PgError.TOO_MANY, "pushed back: try again later", null);
+            new PgError(PgError.TOO_MANY_CONNECTIONS, "pushed back: try again later", null);
     private static final PgError ABORTED =
-            new PgError(PgError.OUTCOME_UNKNOWN, "aborted: it may or may not have run", null);
+            new PgError(
+                    PgError.STATEMENT_COMPLETION_UNKNOWN,
+                    "aborted: it may or may not have run",
+                    null);
 
     private static final Moment FAR = new Moment(Long.MAX_VALUE / 4);
 
@@ -142,7 +145,7 @@
             counters.add(Count.FAULTS);
             log.error("fault", fault);
             if (concerned != null) {
-                answer(concerned, Count.ABORTED, Encoder.failure(ABORTED));
+                answer(concerned, Count.ABORTED, Encoder.errorAndReady(ABORTED));
             }
         }
     }
@@ -167,9 +170,9 @@
             log.error(
                     "unanswered",
                     "id",
-                    exchange.statement.facts().get("id"),
+                    exchange.statement.attributes().get("id"),
                     "method",
-                    exchange.statement.facts().get("c"),
+                    exchange.statement.attributes().get("c"),
                     "hosts",
                     hosts);
         }
@@ -196,10 +199,11 @@
     void check(Asked asked) {
         if (openIds.containsKey(asked.id)) {
             throw new PgException(
-                    PgException.SYNTAX, "the comment's id is that of another open request");
+                    PgException.SYNTAX_ERROR, "the comment's id is that of another open request");
         }
         if (logic.group(asked.group) == null) {
-            throw new PgException(PgException.SYNTAX, "the comment's cluster names nothing known");
+            throw new PgException(
+                    PgException.SYNTAX_ERROR, "the comment's cluster names nothing known");
         }
     }
 
@@ -340,7 +344,8 @@
         answer(
                 rpc,
                 Count.PUSHED_BACK,
-                new PgError(PUSHED_BACK.code(), PUSHED_BACK.message(), Timers.told(comeBackAfter)));
+                new PgError(
+                        PUSHED_BACK.sqlState(), PUSHED_BACK.message(), Timers.told(comeBackAfter)));
     }
 
     @Override
@@ -349,7 +354,7 @@
     }
 
     private void answer(Rpc rpc, Count count, PgError failure) {
-        answer(exchanges.get(rpc), count, Encoder.failure(failure));
+        answer(exchanges.get(rpc), count, Encoder.errorAndReady(failure));
         forget(rpc);
     }
 
@@ -362,7 +367,7 @@
     }
 
     private void freeId(Exchange exchange) {
-        openIds.remove(exchange.statement.facts().get("id"), exchange);
+        openIds.remove(exchange.statement.attributes().get("id"), exchange);
     }
 
     private void forget(Rpc rpc) {
--- a/router/src/main/java/ironwind/net/Rehearsal.java
+++ b/router/src/main/java/ironwind/net/Rehearsal.java
@@ -149,7 +149,7 @@
                         method,
                         customer,
                         0,
-                        statement.key(),
+                        statement.rowKey(),
                         Span.ofMillis(waits),
                         0,
                         false,
@@ -159,11 +159,11 @@
 
     /** What a host would answer to a request of the rehearsal; null to any other. */
     byte[] answerTo(Statement statement) {
-        if (!ids.contains(statement.facts().getOrDefault("id", ""))) {
+        if (!ids.contains(statement.attributes().getOrDefault("id", ""))) {
             return null;
         }
         return Encoder.row(
-                Row.ofText("val", statement.key()),
+                Row.ofText("val", statement.rowKey()),
                 Map.of("applied_ms", Long.toString(System.currentTimeMillis())));
     }
 
--- a/router/src/main/java/ironwind/net/Sending.java
+++ b/router/src/main/java/ironwind/net/Sending.java
@@ -41,7 +41,7 @@
 
     void write(Moment now) {
         long left = callOut.rpc.deadline.since(now).us() / 1_000;
-        connection.write(Encoder.query(exchange.statement.waitingFor(Math.max(1, left))));
+        connection.write(Encoder.query(exchange.statement.withTimeLeft(Math.max(1, left))));
     }
 
     /** Its connection is up, but the request is no longer to be written. */
--- a/router/src/main/java/ironwind/pg/ClientMessage.java
+++ b/router/src/main/java/ironwind/pg/ClientMessage.java
@@ -1,59 +1,83 @@
 package ironwind.pg;
 
-/** What a client says. */
+/** A message from a client to a server. */
 public sealed interface ClientMessage {
-    /** The start-up message; its parameters steer nothing here. */
+    /** A StartupMessage. Its parameters are ignored. */
     record Startup() implements ClientMessage {}
 
-    /** A request for encryption, which is answered with a no. */
-    record Encryption() implements ClientMessage {}
+    /** An SSLRequest or GSSENCRequest, which the router always rejects. */
+    record EncryptionRequest() implements ClientMessage {}
 
+    /** A CancelRequest. */
     record CancelRequest() implements ClientMessage {}
 
+    /**
+     * A Query of the simple query protocol.
+     *
+     * @param sql the query text, one char per byte
+     */
     record Query(String sql) implements ClientMessage {}
 
+    /** A Terminate message. */
     record Terminate() implements ClientMessage {}
 
-    /** A message of the extended query protocol: skipped until {@link Sync}. */
-    record Extended() implements ClientMessage {}
+    /** A message of the extended query protocol; it is skipped until the next {@link Sync}. */
+    record ExtendedQuery() implements ClientMessage {}
 
+    /** A Sync message. */
     record Sync() implements ClientMessage {}
 
-    /** The types of messages that {@link #decode} knows. */
+    /** The type bytes that {@link #decode} accepts. */
     String TYPES = "QXSPBDECHF";
 
-    int VERSION_3 = 3;
-    int CANCEL = 80_877_102;
-    int SSL = 80_877_103;
-    int GSS = 80_877_104;
+    /**
+     * The supported major version of the protocol, in the upper 16 bits of a StartupMessage's code.
+     */
+    int MAJOR_VERSION = 3;
 
+    /** The request code of a CancelRequest. */
+    int CANCEL_REQUEST_CODE = 80_877_102;
+
+    /** The request code of an SSLRequest. */
+    int SSL_REQUEST_CODE = 80_877_103;
+
+    /** The request code of a GSSENCRequest. */
+    int GSSENC_REQUEST_CODE = 80_877_104;
+
+    /**
+     * Decodes a frame.
+     *
+     * @throws PgException if the type is unknown, the body is malformed or the protocol version is
+     *     not supported
+     */
     static ClientMessage decode(Frame frame) {
         byte[] body = frame.body();
         return switch (frame.type()) {
-            case Frame.STARTUP -> startup(body);
-            case 'Q' -> new Query(WireFormat.wholeText(body));
+            case Frame.STARTUP -> decodeStartup(body);
+            case 'Q' -> new Query(WireFormat.readSoleString(body));
             case 'X' -> new Terminate();
             case 'S' -> new Sync();
-            case 'P', 'B', 'D', 'E', 'C', 'H', 'F' -> new Extended();
+            case 'P', 'B', 'D', 'E', 'C', 'H', 'F' -> new ExtendedQuery();
             default ->
                     throw new PgException(
-                            PgException.PROTOCOL, "no message has the type " + (int) frame.type());
+                            PgException.PROTOCOL_VIOLATION,
+                            "unknown message type " + (int) frame.type());
         };
     }
 
-    private static ClientMessage startup(byte[] body) {
+    private static ClientMessage decodeStartup(byte[] body) {
         if (body.length < 4) {
-            throw new PgException(PgException.PROTOCOL, "the start-up message is too short");
+            throw new PgException(PgException.PROTOCOL_VIOLATION, "startup message is too short");
         }
-        int version = WireFormat.int4(body, 0);
-        return switch (version) {
-            case CANCEL -> new CancelRequest();
-            case SSL, GSS -> new Encryption();
+        int code = WireFormat.readInt32(body, 0);
+        return switch (code) {
+            case CANCEL_REQUEST_CODE -> new CancelRequest();
+            case SSL_REQUEST_CODE, GSSENC_REQUEST_CODE -> new EncryptionRequest();
             default -> {
-                if (version >> 16 != VERSION_3) {
+                if (code >> 16 != MAJOR_VERSION) {
                     throw new PgException(
-                            PgException.UNSUPPORTED,
-                            "only version 3 of the protocol is spoken here");
+                            PgException.FEATURE_NOT_SUPPORTED,
+                            "only protocol version 3 is supported");
                 }
                 yield new Startup();
             }
--- a/router/src/main/java/ironwind/pg/Encoder.java
+++ b/router/src/main/java/ironwind/pg/Encoder.java
@@ -4,156 +4,181 @@
 import java.util.List;
 import java.util.Map;
 
-/** Messages as bytes: first what a server says, then what a client says. */
+/** Encodes the messages of servers, which come first below, and of clients. */
 public final class Encoder {
-    private static final byte[] READY = new MessageWriter().begin('Z').int1('I').end().bytes();
+    private static final byte[] READY_FOR_QUERY =
+            new MessageWriter().beginMessage('Z').writeByte('I').endMessage().toByteArray();
     private static final int LENGTH_BYTES = 4;
-    private static final int VERSION = ClientMessage.VERSION_3 << 16;
+    private static final int PROTOCOL_VERSION = ClientMessage.MAJOR_VERSION << 16;
 
     private Encoder() {}
 
-    /** The answer to a start-up message, up to the first ReadyForQuery. */
-    public static byte[] welcome() {
+    /** Returns the response to a startup message, up to and including the first ReadyForQuery. */
+    public static byte[] startupResponse() {
         return new MessageWriter()
-                .begin('R')
-                .int4(0)
-                .end()
-                .begin('S')
-                .text("server_version")
-                .text("15.0")
-                .end()
-                .begin('S')
-                .text("server_encoding")
-                .text("UTF8")
-                .end()
-                .begin('S')
-                .text("client_encoding")
-                .text("UTF8")
-                .end()
-                .begin('S')
-                .text("standard_conforming_strings")
-                .text("on")
-                .end()
-                .raw(READY)
-                .bytes();
-    }
-
-    /** The answer to a request for encryption: no. */
-    public static byte[] noEncryption() {
+                .beginMessage('R')
+                .writeInt32(0)
+                .endMessage()
+                .beginMessage('S')
+                .writeString("server_version")
+                .writeString("15.0")
+                .endMessage()
+                .beginMessage('S')
+                .writeString("server_encoding")
+                .writeString("UTF8")
+                .endMessage()
+                .beginMessage('S')
+                .writeString("client_encoding")
+                .writeString("UTF8")
+                .endMessage()
+                .beginMessage('S')
+                .writeString("standard_conforming_strings")
+                .writeString("on")
+                .endMessage()
+                .writeBytes(READY_FOR_QUERY)
+                .toByteArray();
+    }
+
+    /** Returns the response that rejects a request for encryption. */
+    public static byte[] encryptionRejected() {
         return new byte[] {'N'};
     }
 
-    /** A table of text: a row for each list, as many values in each as there are columns. */
+    /**
+     * Returns a complete result with columns of type text.
+     *
+     * @param rows the rows, each with as many values as there are columns
+     */
     public static byte[] table(List<String> columns, List<List<String>> rows) {
-        MessageWriter writer = new MessageWriter().begin('T').int2(columns.size());
+        MessageWriter writer = new MessageWriter().beginMessage('T').writeInt16(columns.size());
         columns.forEach(
                 column ->
-                        writer.text(column)
-                                .int4(0)
-                                .int2(0)
-                                .int4(Row.TEXT_TYPE)
-                                .int2(-1)
-                                .int4(-1)
-                                .int2(0));
-        writer.end();
+                        writer.writeString(column)
+                                .writeInt32(0)
+                                .writeInt16(0)
+                                .writeInt32(Row.TEXT_TYPE_OID)
+                                .writeInt16(-1)
+                                .writeInt32(-1)
+                                .writeInt16(0));
+        writer.endMessage();
         for (List<String> row : rows) {
-            writer.begin('D').int2(row.size());
+            writer.beginMessage('D').writeInt16(row.size());
             for (String value : row) {
                 byte[] text = value.getBytes(StandardCharsets.UTF_8);
-                writer.int4(text.length).raw(text);
+                writer.writeInt32(text.length).writeBytes(text);
             }
-            writer.end();
+            writer.endMessage();
         }
-        return writer.begin('C').text("SELECT " + rows.size()).end().raw(READY).bytes();
+        return writer.beginMessage('C')
+                .writeString("SELECT " + rows.size())
+                .endMessage()
+                .writeBytes(READY_FOR_QUERY)
+                .toByteArray();
     }
 
+    /** Returns a complete result of one row. */
     public static byte[] row(Row row) {
         return row(row, Map.of());
     }
 
-    /** A row, and parameters that changed with it. */
+    /** Returns a complete result of one row, with a ParameterStatus for each parameter. */
     public static byte[] row(Row row, Map<String, String> parameters) {
-        MessageWriter writer = afterValue(beforeValue(row).raw(row.data()), row);
-        parameters.forEach((name, value) -> writer.begin('S').text(name).text(value).end());
-        return writer.raw(READY).bytes();
+        MessageWriter writer = completeRow(startRow(row).writeBytes(row.data()), row);
+        parameters.forEach(
+                (name, value) ->
+                        writer.beginMessage('S').writeString(name).writeString(value).endMessage());
+        return writer.writeBytes(READY_FOR_QUERY).toByteArray();
     }
 
-    /** A row in parts, so that a large value is not copied. */
+    /** Returns a complete result of one row in parts, so that a large value is not copied. */
     public static byte[][] rowInParts(Row row) {
         return new byte[][] {
-            beforeValue(row).bytes(),
+            startRow(row).toByteArray(),
             row.data(),
-            afterValue(new MessageWriter(), row).raw(READY).bytes()
+            completeRow(new MessageWriter(), row).writeBytes(READY_FOR_QUERY).toByteArray()
         };
     }
 
-    private static MessageWriter beforeValue(Row row) {
+    private static MessageWriter startRow(Row row) {
         return new MessageWriter()
-                .begin('T')
-                .raw(row.description())
-                .end()
-                .int1('D')
-                .int4(LENGTH_BYTES + row.data().length);
+                .beginMessage('T')
+                .writeBytes(row.description())
+                .endMessage()
+                .writeByte('D')
+                .writeInt32(LENGTH_BYTES + row.data().length);
     }
 
-    private static MessageWriter afterValue(MessageWriter writer, Row row) {
-        return writer.begin('C').text(row.tag()).end();
+    private static MessageWriter completeRow(MessageWriter writer, Row row) {
+        return writer.beginMessage('C').writeString(row.tag()).endMessage();
     }
 
-    public static byte[] failure(PgError failure) {
-        return failure(failure, "ERROR").raw(READY).bytes();
+    /** Returns an ErrorResponse followed by ReadyForQuery. */
+    public static byte[] errorAndReady(PgError error) {
+        return error(error, "ERROR").writeBytes(READY_FOR_QUERY).toByteArray();
     }
 
-    /** An error that no ReadyForQuery follows yet. */
-    public static byte[] error(PgError failure) {
-        return failure(failure, "ERROR").bytes();
+    /** Returns an ErrorResponse without the ReadyForQuery that has to follow it. */
+    public static byte[] error(PgError error) {
+        return error(error, "ERROR").toByteArray();
     }
 
-    /** An error after which the connection is closed. */
-    public static byte[] fatal(PgError failure) {
-        return failure(failure, "FATAL").bytes();
+    /** Returns an ErrorResponse of severity FATAL, after which the connection is closed. */
+    public static byte[] fatalError(PgError error) {
+        return error(error, "FATAL").toByteArray();
     }
 
-    private static MessageWriter failure(PgError failure, String severity) {
+    private static MessageWriter error(PgError error, String severity) {
         MessageWriter writer =
                 new MessageWriter()
-                        .begin('E')
-                        .int1('S')
-                        .text(severity)
-                        .int1('V')
-                        .text(severity)
-                        .int1('C')
-                        .text(failure.code())
-                        .int1('M')
-                        .text(failure.message());
-        if (failure.detail() != null) {
-            writer.int1('D').text(failure.detail());
+                        .beginMessage('E')
+                        .writeByte('S')
+                        .writeString(severity)
+                        .writeByte('V')
+                        .writeString(severity)
+                        .writeByte('C')
+                        .writeString(error.sqlState())
+                        .writeByte('M')
+                        .writeString(error.message());
+        if (error.detail() != null) {
+            writer.writeByte('D').writeString(error.detail());
         }
-        return writer.int1(0).end();
+        return writer.writeByte(0).endMessage();
     }
 
-    public static byte[] emptyQuery() {
-        return new MessageWriter().begin('I').end().raw(READY).bytes();
+    /** Returns an EmptyQueryResponse followed by ReadyForQuery. */
+    public static byte[] emptyQueryResponse() {
+        return new MessageWriter()
+                .beginMessage('I')
+                .endMessage()
+                .writeBytes(READY_FOR_QUERY)
+                .toByteArray();
     }
 
-    public static byte[] ready() {
-        return READY.clone();
+    /** Returns a ReadyForQuery. */
+    public static byte[] readyForQuery() {
+        return READY_FOR_QUERY.clone();
     }
 
+    /** Returns a startup message. */
     public static byte[] startup(String user, String database) {
         return new MessageWriter()
-                .begin(Frame.STARTUP)
-                .int4(VERSION)
-                .text("user")
-                .text(user)
-                .text("database")
-                .text(database)
-                .int1(0)
-                .end()
-                .bytes();
-    }
-
+                .beginMessage(Frame.STARTUP)
+                .writeInt32(PROTOCOL_VERSION)
+                .writeString("user")
+                .writeString(user)
+                .writeString("database")
+                .writeString(database)
+                .writeByte(0)
+                .endMessage()
+                .toByteArray();
+    }
+
+    /**
+     * Returns a Query.
+     *
+     * @param sql the query text, one char per byte
+     */
     public static byte[] query(String sql) {
-        return new MessageWriter().begin('Q').text(sql).end().bytes();
+        return new MessageWriter().beginMessage('Q').writeString(sql).endMessage().toByteArray();
     }
 }
--- a/router/src/main/java/ironwind/pg/Frame.java
+++ b/router/src/main/java/ironwind/pg/Frame.java
@@ -1,7 +1,12 @@
 package ironwind.pg;
 
-/** One message as it came: its type byte, and what follows its length. */
+/**
+ * A message as received, without its length field.
+ *
+ * @param type the type byte, or {@link #STARTUP}
+ * @param body the bytes after the length field
+ */
 public record Frame(char type, byte[] body) {
-    /** Stands for the type of a start-up message, which has none. */
+    /** The type of startup messages, which have no type byte on the wire. */
     public static final char STARTUP = 0;
 }
--- a/router/src/main/java/ironwind/pg/FrameDecoder.java
+++ b/router/src/main/java/ironwind/pg/FrameDecoder.java
@@ -2,135 +2,145 @@
 
 import java.util.Arrays;
 
-/** Cuts what comes in, split or joined at any byte, into messages. */
+/** Splits a byte stream, received in pieces of any size, into frames. */
 public final class FrameDecoder {
     private static final int LENGTH_BYTES = 4;
-    private static final byte[] NOTHING = {};
+    private static final byte[] EMPTY = {};
 
-    /** Most messages are no longer than this. */
-    private static final int USUAL = 512;
+    /** Smallest capacity of a buffer that joins pieces, in bytes: most messages are no longer. */
+    private static final int MIN_CAPACITY = 512;
 
-    /** PostgreSQL takes no longer start-up message. */
-    private static final int LONGEST_STARTUP = 10_000;
+    /** Largest body of a startup message, in bytes: PostgreSQL's own limit. */
+    private static final int MAX_STARTUP_BYTES = 10_000;
 
     private final String types;
-    private final int longest;
+    private final int maxBodyBytes;
     private boolean startup;
-    private byte[] bytes = NOTHING;
-    private int from;
-    private int to;
+    private byte[] buffer = EMPTY;
+    private int readIndex;
+    private int writeIndex;
 
     /**
-     * {@code startup}: the first message bears no type. The types that others may have; their
-     * bodies may have {@code longest} bytes.
+     * Creates a decoder.
+     *
+     * @param startup whether startup messages, which have no type byte, come first; see {@link
+     *     #startupDone}
+     * @param types the type bytes that all other messages may have
+     * @param maxBodyBytes the largest body that is accepted
      */
-    public FrameDecoder(boolean startup, String types, int longest) {
+    public FrameDecoder(boolean startup, String types, int maxBodyBytes) {
         this.startup = startup;
         this.types = types;
-        this.longest = longest;
+        this.maxBodyBytes = maxBodyBytes;
     }
 
-    /** Takes what has come; the array is this object's from now on. */
-    public void add(byte[] more) {
-        int kept = to - from;
-        if (kept == 0) {
-            bytes = more;
-            from = 0;
-            to = more.length;
+    /** Adds received bytes. The decoder takes ownership of the array. */
+    public void add(byte[] bytes) {
+        int buffered = writeIndex - readIndex;
+        if (buffered == 0) {
+            buffer = bytes;
+            readIndex = 0;
+            writeIndex = bytes.length;
             return;
         }
-        if (to + more.length > bytes.length) {
-            int room = Math.max(kept + more.length, Math.max(USUAL, Math.min(expected(), longest)));
-            byte[] target = room <= bytes.length ? bytes : new byte[room];
-            System.arraycopy(bytes, from, target, 0, kept);
-            bytes = target;
-            from = 0;
-            to = kept;
+        if (writeIndex + bytes.length > buffer.length) {
+            int capacity =
+                    Math.max(
+                            buffered + bytes.length,
+                            Math.max(MIN_CAPACITY, Math.min(messageBytes(), maxBodyBytes)));
+            byte[] target = capacity <= buffer.length ? buffer : new byte[capacity];
+            System.arraycopy(buffer, readIndex, target, 0, buffered);
+            buffer = target;
+            readIndex = 0;
+            writeIndex = buffered;
         }
-        System.arraycopy(more, 0, bytes, to, more.length);
-        to += more.length;
+        System.arraycopy(bytes, 0, buffer, writeIndex, bytes.length);
+        writeIndex += bytes.length;
     }
 
     /**
-     * How long the message that has begun says it is, with its head; zero where that has not come
-     * yet.
+     * Returns the length of the next message as its header declares it, header included; zero while
+     * the header is incomplete.
      */
-    private int expected() {
-        int head = startup ? 0 : 1;
-        return to - from < head + LENGTH_BYTES
+    private int messageBytes() {
+        int typeBytes = startup ? 0 : 1;
+        return writeIndex - readIndex < typeBytes + LENGTH_BYTES
                 ? 0
-                : head + Math.max(0, WireFormat.int4(bytes, from + head));
+                : typeBytes + Math.max(0, WireFormat.readInt32(buffer, readIndex + typeBytes));
     }
 
     /**
-     * The next whole message, or null where more must come first. A header that is wrong is told at
-     * once.
+     * Returns the next frame, or null until it is complete.
+     *
+     * @throws PgException if the header is invalid, as soon as the header has arrived
      */
     public Frame next() {
-        int head = startup ? 0 : 1;
-        if (!startup && from < to && types.indexOf(bytes[from] & 0xff) < 0) {
+        int typeBytes = startup ? 0 : 1;
+        if (!startup && readIndex < writeIndex && types.indexOf(buffer[readIndex] & 0xff) < 0) {
             throw new PgException(
-                    PgException.PROTOCOL, "no message has the type " + (bytes[from] & 0xff));
+                    PgException.PROTOCOL_VIOLATION,
+                    "unknown message type " + (buffer[readIndex] & 0xff));
         }
-        if (to - from < head + LENGTH_BYTES) {
+        if (writeIndex - readIndex < typeBytes + LENGTH_BYTES) {
             return null;
         }
-        int length = WireFormat.int4(bytes, from + head) - LENGTH_BYTES;
+        int length = WireFormat.readInt32(buffer, readIndex + typeBytes) - LENGTH_BYTES;
         if (length < 0) {
-            throw new PgException(PgException.PROTOCOL, "a message has a negative length");
+            throw new PgException(
+                    PgException.PROTOCOL_VIOLATION, "message length is less than " + LENGTH_BYTES);
         }
-        int most = startup ? Math.min(LONGEST_STARTUP, longest) : longest;
-        if (length > most) {
+        int limit = startup ? Math.min(MAX_STARTUP_BYTES, maxBodyBytes) : maxBodyBytes;
+        if (length > limit) {
             throw new PgException(
-                    PgException.TOO_LARGE,
-                    "a message has " + length + " bytes, " + most + " are allowed");
+                    PgException.PROGRAM_LIMIT_EXCEEDED,
+                    "message body has " + length + " bytes, at most " + limit + " are allowed");
         }
-        int body = from + head + LENGTH_BYTES;
-        if (to - body < length) {
+        int body = readIndex + typeBytes + LENGTH_BYTES;
+        if (writeIndex - body < length) {
             return null;
         }
-        char type = startup ? Frame.STARTUP : (char) (bytes[from] & 0xff);
-        from = body + length;
-        Frame frame = new Frame(type, Arrays.copyOfRange(bytes, body, from));
-        if (from == to) {
-            // A connection keeps no room for what it once brought.
+        char type = startup ? Frame.STARTUP : (char) (buffer[readIndex] & 0xff);
+        readIndex = body + length;
+        Frame frame = new Frame(type, Arrays.copyOfRange(buffer, body, readIndex));
+        if (readIndex == writeIndex) {
+            // Releases the buffer, so that an idle connection holds no memory for past messages.
             clear();
         }
         return frame;
     }
 
-    /** What follows is typed: the start-up is over. */
-    public void started() {
+    /** Ends the startup phase: all further messages have a type byte. */
+    public void startupDone() {
         startup = false;
     }
 
-    /** Whether the start-up message is still to come. */
-    public boolean atStartup() {
+    /** Whether the decoder is in the startup phase. */
+    public boolean inStartup() {
         return startup;
     }
 
-    /** Drops what has come. */
+    /** Discards all buffered bytes and releases the buffer. */
     public void clear() {
-        from = 0;
-        to = 0;
-        bytes = NOTHING;
+        readIndex = 0;
+        writeIndex = 0;
+        buffer = EMPTY;
     }
 
-    /** Bytes of the room that is held for what has come and is no whole message yet. */
-    public int held() {
-        return from < to ? bytes.length : 0;
+    /** Returns the capacity of the buffer in bytes; zero if no bytes are buffered. */
+    public int bufferCapacity() {
+        return readIndex < writeIndex ? buffer.length : 0;
     }
 
     /**
-     * Bytes that the message which has begun will take; zero where none has, or its head has not
-     * come.
+     * Returns how many bytes the next message takes according to its header, at most the largest
+     * body; zero while the header is incomplete.
      */
-    public int wants() {
-        return Math.min(expected(), longest);
+    public int expectedBytes() {
+        return Math.min(messageBytes(), maxBodyBytes);
     }
 
-    /** Whether part of a message has come. */
-    public boolean midway() {
-        return from < to;
+    /** Whether bytes are buffered that {@link #next} has not returned yet. */
+    public boolean hasBufferedBytes() {
+        return readIndex < writeIndex;
     }
 }
--- a/router/src/main/java/ironwind/pg/HostMessage.java
+++ b/router/src/main/java/ironwind/pg/HostMessage.java
@@ -3,128 +3,151 @@
 import java.util.Arrays;
 import java.util.regex.Pattern;
 
-/** What a database host says. */
+/** A message from a database host. */
 public sealed interface HostMessage {
-    /** The types of messages that {@link #decode} knows. */
+    /** The type bytes that {@link #decode} accepts. */
     String TYPES = "RSTDCEZNKIAv";
 
-    /** What follows a column's name, and what stands before a value. */
-    int COLUMN_BYTES = 18;
+    /** Length of a column's fixed-size fields, which follow its name in a RowDescription. */
+    int COLUMN_FIELDS_BYTES = 18;
 
-    int ROW_HEAD_BYTES = 6;
+    /** Length of the column count and the value's length, which precede the value in a DataRow. */
+    int ROW_HEADER_BYTES = 6;
+
+    /** The form of an SQLSTATE code. */
     Pattern SQLSTATE = Pattern.compile("[0-9A-Z]{5}");
-    Pattern TAG = Pattern.compile("[A-Z]+( [0-9]+)*");
 
-    record Welcome() implements HostMessage {}
+    /** The form of a command tag. */
+    Pattern COMMAND_TAG = Pattern.compile("[A-Z]+( [0-9]+)*");
+
+    /** An AuthenticationOk. */
+    record AuthenticationOk() implements HostMessage {}
 
-    record Parameter(String name, String value) implements HostMessage {}
+    /** A ParameterStatus. */
+    record ParameterStatus(String name, String value) implements HostMessage {}
 
-    record Description(byte[] body) implements HostMessage {}
+    /** A RowDescription of one column. */
+    record RowDescription(byte[] body) implements HostMessage {}
 
-    record Data(byte[] body) implements HostMessage {}
+    /** A DataRow of one value. */
+    record DataRow(byte[] body) implements HostMessage {}
 
-    record Complete(String tag) implements HostMessage {}
+    /** A CommandComplete. */
+    record CommandComplete(String tag) implements HostMessage {}
 
-    record Failed(PgError failure) implements HostMessage {}
+    /** An ErrorResponse. */
+    record ErrorResponse(PgError error) implements HostMessage {}
 
-    /** What needs no reply and changes nothing, such as a notice. */
-    record Skipped() implements HostMessage {}
+    /** A message that needs no response and has no effect, such as a notice. */
+    record Ignored() implements HostMessage {}
 
-    record Ready() implements HostMessage {}
+    /** A ReadyForQuery. */
+    record ReadyForQuery() implements HostMessage {}
 
+    /**
+     * Decodes a frame.
+     *
+     * @throws PgException if the type is unknown, the body is malformed, a result does not have
+     *     exactly one column, or the host requires authentication
+     */
     static HostMessage decode(Frame frame) {
         byte[] body = frame.body();
         return switch (frame.type()) {
-            case 'R' -> welcome(body);
-            case 'S' -> parameter(body);
-            case 'T' -> new Description(oneColumn(body));
-            case 'D' -> new Data(oneValue(body));
-            case 'C' -> new Complete(tag(body));
-            case 'E' -> new Failed(failure(body));
-            case 'Z' -> ready(body);
-            case 'N', 'K', 'I', 'A', 'v' -> new Skipped();
+            case 'R' -> decodeAuthentication(body);
+            case 'S' -> decodeParameterStatus(body);
+            case 'T' -> new RowDescription(checkRowDescription(body));
+            case 'D' -> new DataRow(checkDataRow(body));
+            case 'C' -> new CommandComplete(decodeCommandTag(body));
+            case 'E' -> new ErrorResponse(decodeError(body));
+            case 'Z' -> decodeReadyForQuery(body);
+            case 'N', 'K', 'I', 'A', 'v' -> new Ignored();
             default ->
                     throw new PgException(
-                            PgException.PROTOCOL, "no message has the type " + (int) frame.type());
+                            PgException.PROTOCOL_VIOLATION,
+                            "unknown message type " + (int) frame.type());
         };
     }
 
-    private static HostMessage welcome(byte[] body) {
+    private static HostMessage decodeAuthentication(byte[] body) {
         if (!Arrays.equals(body, new byte[4])) {
-            throw new PgException(PgException.UNSUPPORTED, "the host asks for a password");
+            throw new PgException(
+                    PgException.FEATURE_NOT_SUPPORTED,
+                    "the host requires authentication, which is not supported");
         }
-        return new Welcome();
+        return new AuthenticationOk();
     }
 
-    /** What can't be read is passed over: the answer that it came with is as good as without it. */
-    private static HostMessage parameter(byte[] body) {
+    /** Ignores a malformed parameter, because the answer that it came with is valid without it. */
+    private static HostMessage decodeParameterStatus(byte[] body) {
         try {
-            String name = WireFormat.text(body, 0);
-            return new Parameter(name, WireFormat.text(body, name.length() + 1));
-        } catch (PgException unreadable) {
-            return new Skipped();
+            String name = WireFormat.readString(body, 0);
+            return new ParameterStatus(name, WireFormat.readString(body, name.length() + 1));
+        } catch (PgException malformed) {
+            return new Ignored();
         }
     }
 
-    private static byte[] oneColumn(byte[] body) {
-        boolean one =
+    private static byte[] checkRowDescription(byte[] body) {
+        boolean oneColumn =
                 body.length > 2
                         && body[0] == 0
                         && body[1] == 1
-                        && WireFormat.text(body, 2).length() + 1 + COLUMN_BYTES == body.length - 2;
-        return check(one, body, "a description is not that of one column");
+                        && WireFormat.readString(body, 2).length() + 1 + COLUMN_FIELDS_BYTES
+                                == body.length - 2;
+        return check(oneColumn, body, "RowDescription does not have exactly one column");
     }
 
-    private static byte[] oneValue(byte[] body) {
-        boolean one =
-                body.length >= ROW_HEAD_BYTES
+    private static byte[] checkDataRow(byte[] body) {
+        boolean oneValue =
+                body.length >= ROW_HEADER_BYTES
                         && body[0] == 0
                         && body[1] == 1
-                        && Math.max(0, WireFormat.int4(body, 2)) == body.length - ROW_HEAD_BYTES;
-        return check(one, body, "a row does not hold one value");
+                        && Math.max(0, WireFormat.readInt32(body, 2))
+                                == body.length - ROW_HEADER_BYTES;
+        return check(oneValue, body, "DataRow does not have exactly one value");
     }
 
-    private static HostMessage ready(byte[] body) {
+    private static HostMessage decodeReadyForQuery(byte[] body) {
         check(
                 body.length == 1 && "ITE".indexOf(body[0]) >= 0,
                 body,
-                "a host is ready in no known state");
-        return new Ready();
+                "ReadyForQuery has an unknown transaction status");
+        return new ReadyForQuery();
     }
 
-    private static String tag(byte[] body) {
-        String tag = WireFormat.wholeText(body);
-        check(TAG.matcher(tag).matches(), body, "no command completes with such a tag");
+    private static String decodeCommandTag(byte[] body) {
+        String tag = WireFormat.readSoleString(body);
+        check(COMMAND_TAG.matcher(tag).matches(), body, "CommandComplete has a malformed tag");
         return tag;
     }
 
-    private static byte[] check(boolean holds, byte[] body, String otherwise) {
-        if (!holds) {
-            throw new PgException(PgException.PROTOCOL, otherwise);
+    private static byte[] check(boolean valid, byte[] body, String message) {
+        if (!valid) {
+            throw new PgException(PgException.PROTOCOL_VIOLATION, message);
         }
         return body;
     }
 
-    private static PgError failure(byte[] body) {
-        String code = "";
+    private static PgError decodeError(byte[] body) {
+        String sqlState = "";
         String message = "";
         String detail = null;
         int at = 0;
         while (at < body.length && body[at] != 0) {
             char field = (char) body[at];
-            String value = WireFormat.text(body, at + 1);
+            String value = WireFormat.readString(body, at + 1);
             at += value.length() + 2;
             switch (field) {
-                case 'C' -> code = value;
+                case 'C' -> sqlState = value;
                 case 'M' -> message = value;
                 case 'D' -> detail = value;
                 default -> {}
             }
         }
         check(
-                at == body.length - 1 && SQLSTATE.matcher(code).matches(),
+                at == body.length - 1 && SQLSTATE.matcher(sqlState).matches(),
                 body,
-                "an error has no code that can be read");
-        return new PgError(code, message, detail);
+                "ErrorResponse is malformed or has no valid SQLSTATE");
+        return new PgError(sqlState, message, detail);
     }
 }
--- a/router/src/main/java/ironwind/pg/MessageWriter.java
+++ b/router/src/main/java/ironwind/pg/MessageWriter.java
@@ -2,61 +2,65 @@
 
 import java.util.Arrays;
 
-/** Builds messages one after another. */
+/** Builds a sequence of messages in a growing buffer. */
 final class MessageWriter {
-    private byte[] bytes = new byte[128];
+    private byte[] buffer = new byte[128];
     private int size;
-    private int lengthAt;
 
-    MessageWriter begin(char type) {
+    /** Where the length field of the current message starts. */
+    private int lengthOffset;
+
+    /** Begins a message; {@link #endMessage} fills in its length. */
+    MessageWriter beginMessage(char type) {
         if (type != Frame.STARTUP) {
-            int1(type);
+            writeByte(type);
         }
-        lengthAt = size;
-        return int4(0);
+        lengthOffset = size;
+        return writeInt32(0);
     }
 
-    MessageWriter end() {
-        int length = size - lengthAt;
-        bytes[lengthAt] = (byte) (length >> 24);
-        bytes[lengthAt + 1] = (byte) (length >> 16);
-        bytes[lengthAt + 2] = (byte) (length >> 8);
-        bytes[lengthAt + 3] = (byte) length;
+    MessageWriter endMessage() {
+        int length = size - lengthOffset;
+        buffer[lengthOffset] = (byte) (length >> 24);
+        buffer[lengthOffset + 1] = (byte) (length >> 16);
+        buffer[lengthOffset + 2] = (byte) (length >> 8);
+        buffer[lengthOffset + 3] = (byte) length;
         return this;
     }
 
-    MessageWriter int1(int value) {
-        room(1);
-        bytes[size++] = (byte) value;
+    MessageWriter writeByte(int value) {
+        ensureWritable(1);
+        buffer[size++] = (byte) value;
         return this;
     }
 
-    MessageWriter int2(int value) {
-        return int1(value >> 8).int1(value);
+    MessageWriter writeInt16(int value) {
+        return writeByte(value >> 8).writeByte(value);
     }
 
-    MessageWriter int4(int value) {
-        return int2(value >> 16).int2(value);
+    MessageWriter writeInt32(int value) {
+        return writeInt16(value >> 16).writeInt16(value);
     }
 
-    MessageWriter raw(byte[] more) {
-        room(more.length);
-        System.arraycopy(more, 0, bytes, size, more.length);
-        size += more.length;
+    MessageWriter writeBytes(byte[] bytes) {
+        ensureWritable(bytes.length);
+        System.arraycopy(bytes, 0, buffer, size, bytes.length);
+        size += bytes.length;
         return this;
     }
 
-    MessageWriter text(String text) {
-        return raw(text.getBytes(WireFormat.BYTES)).int1(0);
+    /** Writes a zero-terminated string, one byte per char. */
+    MessageWriter writeString(String string) {
+        return writeBytes(string.getBytes(WireFormat.CHARSET)).writeByte(0);
     }
 
-    byte[] bytes() {
-        return Arrays.copyOf(bytes, size);
+    byte[] toByteArray() {
+        return Arrays.copyOf(buffer, size);
     }
 
-    private void room(int more) {
-        if (size + more > bytes.length) {
-            bytes = Arrays.copyOf(bytes, Math.max(2 * bytes.length, size + more));
+    private void ensureWritable(int count) {
+        if (size + count > buffer.length) {
+            buffer = Arrays.copyOf(buffer, Math.max(2 * buffer.length, size + count));
         }
     }
 }
--- a/router/src/main/java/ironwind/pg/PgException.java
+++ b/router/src/main/java/ironwind/pg/PgException.java
@@ -1,18 +1,33 @@
 package ironwind.pg;
 
-/** Something that PostgreSQL's protocol, or this router's part of it, has no place for. */
+/**
+ * Thrown for input that violates the protocol, is malformed, exceeds a limit or is not supported.
+ * It carries the SQLSTATE that is reported to the client, and no stack trace.
+ */
 public final class PgException extends RuntimeException {
-    public static final String PROTOCOL = "08P01";
-    public static final String TOO_LARGE = "54000";
-    public static final String UNSUPPORTED = "0A000";
-    public static final String SYNTAX = "42601";
-    public static final String TOO_SLOW = "57P05";
+    /** SQLSTATE protocol_violation. */
+    public static final String PROTOCOL_VIOLATION = "08P01";
+
+    /** SQLSTATE program_limit_exceeded: a message is too large. */
+    public static final String PROGRAM_LIMIT_EXCEEDED = "54000";
+
+    /** SQLSTATE feature_not_supported. */
+    public static final String FEATURE_NOT_SUPPORTED = "0A000";
+
+    /** SQLSTATE syntax_error. */
+    public static final String SYNTAX_ERROR = "42601";
+
+    /** SQLSTATE idle_session_timeout. */
+    public static final String IDLE_SESSION_TIMEOUT = "57P05";
+
     private static final long serialVersionUID = 1L;
 
-    public final String code;
+    /** The SQLSTATE code, five characters. */
+    public final String sqlState;
 
-    public PgException(String code, String what) {
-        super(what, null, false, false);
-        this.code = code;
+    /** Creates an exception without a stack trace. */
+    public PgException(String sqlState, String message) {
+        super(message, null, false, false);
+        this.sqlState = sqlState;
     }
 }
--- a/router/src/main/java/ironwind/pg/Statement.java
+++ b/router/src/main/java/ironwind/pg/Statement.java
@@ -3,82 +3,122 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** A statement behind a comment of names and values, as clients send it. */
-public record Statement(Map<String, String> facts, String text) {
-    private static final String OPEN = "/*";
-    private static final String CLOSE = "*/";
+/**
+ * A statement, and the attributes that the client passes in a comment before it, such as {@code
+ * id=1,c=read,d=100}.
+ *
+ * @param attributes the comment's names and values, in the order in which they were sent; empty if
+ *     there is no comment
+ * @param text the statement without the comment
+ */
+public record Statement(Map<String, String> attributes, String text) {
+    private static final String COMMENT_START = "/*";
+    private static final String COMMENT_END = "*/";
+
+    /** The attribute for the time that is left for the answer, in milliseconds. */
     private static final String TIME_LEFT = "d";
-    private static final int SHOWN = 24;
 
-    /** Reads a query; one without such a comment has no facts. */
+    /** How much of a malformed value an error message quotes, in characters. */
+    private static final int MAX_QUOTED_CHARS = 24;
+
+    /**
+     * Parses a query.
+     *
+     * @throws PgException if the comment is unterminated or contains a name twice
+     */
     public static Statement parse(String sql) {
         String trimmed = sql.strip();
-        if (!trimmed.startsWith(OPEN)) {
+        if (!trimmed.startsWith(COMMENT_START)) {
             return new Statement(Map.of(), trimmed);
         }
-        int close = trimmed.indexOf(CLOSE, OPEN.length());
-        if (close < 0) {
-            throw new PgException(PgException.SYNTAX, "the comment has no end");
+        int commentEnd = trimmed.indexOf(COMMENT_END, COMMENT_START.length());
+        if (commentEnd < 0) {
+            throw new PgException(PgException.SYNTAX_ERROR, "unterminated comment");
         }
-        Map<String, String> facts = new LinkedHashMap<>();
-        for (String pair : trimmed.substring(OPEN.length(), close).strip().split(",")) {
+        Map<String, String> attributes = new LinkedHashMap<>();
+        for (String pair :
+                trimmed.substring(COMMENT_START.length(), commentEnd).strip().split(",")) {
             int equals = pair.indexOf('=');
             if (equals > 0
-                    && facts.put(
+                    && attributes.put(
                                     pair.substring(0, equals).strip(),
                                     pair.substring(equals + 1).strip())
                             != null) {
-                throw new PgException(PgException.SYNTAX, "the comment names something twice");
+                throw new PgException(
+                        PgException.SYNTAX_ERROR, "the comment contains a name twice");
             }
         }
-        return new Statement(facts, trimmed.substring(close + CLOSE.length()).strip());
+        return new Statement(
+                attributes, trimmed.substring(commentEnd + COMMENT_END.length()).strip());
     }
 
-    /** The same statement for a host, with how long its answer will be waited for. */
-    public String waitingFor(long millis) {
-        StringBuilder sql = new StringBuilder(text.length() + 160).append(OPEN);
-        char before = ' ';
-        for (Map.Entry<String, String> fact : facts.entrySet()) {
-            sql.append(before)
-                    .append(fact.getKey())
+    /**
+     * Returns the comment and the statement for a host, with the time that is left for its answer
+     * in place of the client's value, where the client sent one.
+     */
+    public String withTimeLeft(long millis) {
+        StringBuilder sql = new StringBuilder(text.length() + 160).append(COMMENT_START);
+        char separator = ' ';
+        for (Map.Entry<String, String> attribute : attributes.entrySet()) {
+            sql.append(separator)
+                    .append(attribute.getKey())
                     .append('=')
                     .append(
-                            fact.getKey().equals(TIME_LEFT)
+                            attribute.getKey().equals(TIME_LEFT)
                                     ? Long.toString(millis)
-                                    : fact.getValue());
-            before = ',';
+                                    : attribute.getValue());
+            separator = ',';
         }
-        return sql.append(' ').append(CLOSE).append(' ').append(text).toString();
+        return sql.append(' ').append(COMMENT_END).append(' ').append(text).toString();
     }
 
-    public String need(String name) {
-        String value = facts.get(name);
+    /**
+     * Returns the value of an attribute.
+     *
+     * @throws PgException if it is absent or empty
+     */
+    public String required(String name) {
+        String value = attributes.get(name);
         if (value == null || value.isEmpty()) {
-            throw new PgException(PgException.SYNTAX, "the comment has no " + name);
+            throw new PgException(PgException.SYNTAX_ERROR, "the comment has no value for " + name);
         }
         return value;
     }
 
-    public long needWhole(String name, long least, long most) {
-        String value = need(name);
+    /**
+     * Returns the value of an attribute that must be an integer.
+     *
+     * @throws PgException if it is absent, not an integer or out of range; both bounds are
+     *     inclusive
+     */
+    public long requiredLong(String name, long min, long max) {
+        String value = required(name);
         try {
             long number = Long.parseLong(value);
-            if (number >= least && number <= most) {
+            if (number >= min && number <= max) {
                 return number;
             }
         } catch (NumberFormatException e) {
-            // told below, as what is out of range is
+            // Reported below, like a value that is out of range.
         }
         throw new PgException(
-                PgException.SYNTAX,
+                PgException.SYNTAX_ERROR,
                 "the comment's "
                         + name
-                        + " is no whole number in its range: "
-                        + value.substring(0, Math.min(SHOWN, value.length())));
+                        + " is not an integer from "
+                        + min
+                        + " to "
+                        + max
+                        + ": "
+                        + value.substring(0, Math.min(MAX_QUOTED_CHARS, value.length())));
     }
 
-    /** The first quoted literal, which names the row; null where there is none. */
-    public String key() {
+    /**
+     * Returns the row's key, which is the first quoted literal; null if there is none.
+     *
+     * @throws PgException if the literal is unterminated
+     */
+    public String rowKey() {
         int open = text.indexOf('\'');
         if (open < 0) {
             return null;
@@ -94,6 +134,6 @@
                 return key.toString();
             }
         }
-        throw new PgException(PgException.SYNTAX, "a quoted text has no end");
+        throw new PgException(PgException.SYNTAX_ERROR, "unterminated quoted string");
     }
 }
--- a/router/src/main/java/ironwind/pg/WireFormat.java
+++ b/router/src/main/java/ironwind/pg/WireFormat.java
@@ -3,44 +3,48 @@
 import java.nio.charset.Charset;
 import java.nio.charset.StandardCharsets;
 
-/** What the messages of both directions share. */
+/** Size limits, and readers for the data types that messages of both directions use. */
 public final class WireFormat {
-    /** One char a byte, so that any text passes through as it came. */
-    static final Charset BYTES = StandardCharsets.ISO_8859_1;
+    /** Maps each byte to one char, so that text in any encoding passes through unchanged. */
+    static final Charset CHARSET = StandardCharsets.ISO_8859_1;
 
-    /** PROTOCOL: values are no larger than this. */
-    static final int LARGEST_VALUE = 64 * 1024;
+    /** Largest value, in bytes. The protocol specification (PROTOCOL) allows no larger one. */
+    static final int MAX_VALUE_BYTES = 64 * 1024;
 
-    /** A value may stand in hexadecimal, with words round it. */
-    public static final int LARGEST_MESSAGE = 2 * LARGEST_VALUE + 4_096;
+    /**
+     * Largest message body, in bytes. A value may be written in hexadecimal, which takes two bytes
+     * for each of its bytes, with other text around it.
+     */
+    public static final int MAX_MESSAGE_BYTES = 2 * MAX_VALUE_BYTES + 4_096;
 
     private WireFormat() {}
 
-    static int int4(byte[] bytes, int at) {
-        return (bytes[at] & 0xff) << 24
-                | (bytes[at + 1] & 0xff) << 16
-                | (bytes[at + 2] & 0xff) << 8
-                | bytes[at + 3] & 0xff;
+    /** Reads a big-endian 32-bit integer. */
+    static int readInt32(byte[] bytes, int offset) {
+        return (bytes[offset] & 0xff) << 24
+                | (bytes[offset + 1] & 0xff) << 16
+                | (bytes[offset + 2] & 0xff) << 8
+                | bytes[offset + 3] & 0xff;
     }
 
-    /** The text that fills a message up to its last byte, a zero. */
-    static String wholeText(byte[] bytes) {
-        String text = text(bytes, 0);
-        if (text.length() != bytes.length - 1) {
-            throw new PgException(PgException.PROTOCOL, "a text ends before its message");
+    /** Reads a zero-terminated string that must make up the whole message body. */
+    static String readSoleString(byte[] body) {
+        String string = readString(body, 0);
+        if (string.length() != body.length - 1) {
+            throw new PgException(PgException.PROTOCOL_VIOLATION, "unexpected data after a string");
         }
-        return text;
+        return string;
     }
 
-    /** The text from here to its zero byte. */
-    static String text(byte[] bytes, int at) {
-        int end = at;
+    /** Reads the zero-terminated string that starts at the offset. */
+    static String readString(byte[] bytes, int offset) {
+        int end = offset;
         while (end < bytes.length && bytes[end] != 0) {
             end++;
         }
         if (end >= bytes.length) {
-            throw new PgException(PgException.PROTOCOL, "a text has no end");
+            throw new PgException(PgException.PROTOCOL_VIOLATION, "unterminated string");
         }
-        return new String(bytes, at, end - at, BYTES);
+        return new String(bytes, offset, end - offset, CHARSET);
     }
 }
--- a/router/src/test/java/ironwind/net/HostWordTest.java
+++ b/router/src/test/java/ironwind/net/HostWordTest.java
@@ -33,8 +33,8 @@
     void positionAndRoleComeFromTheParameters(
             String applied, String role, Long position, Role told) {
         HostWord word = new HostWord();
-        word.hear(new HostMessage.Parameter("applied_ms", applied == null ? "" : applied));
-        word.hear(new HostMessage.Parameter("role", role == null ? "" : role));
+        word.hear(new HostMessage.ParameterStatus("applied_ms", applied == null ? "" : applied));
+        word.hear(new HostMessage.ParameterStatus("role", role == null ? "" : role));
         assertThat(word.position(NOW))
                 .isEqualTo(position == null ? Moment.NEVER : new Moment(position));
         assertThat(word.role()).isEqualTo(told);
@@ -52,8 +52,8 @@
     void positionAndRoleOfAReportComeFromItsRow(String report, Long position, Role told) {
         Row row = Row.ofText("load", report);
         HostWord word = new HostWord();
-        word.hear(new HostMessage.Description(row.description()));
-        word.hear(new HostMessage.Data(row.data()));
+        word.hear(new HostMessage.RowDescription(row.description()));
+        word.hear(new HostMessage.DataRow(row.data()));
         assertThat(word.reportedPosition(NOW))
                 .isEqualTo(position == null ? Moment.NEVER : new Moment(position));
         assertThat(word.reportedRole()).isEqualTo(told);
--- a/router/src/test/java/ironwind/net/RouterTest.java
+++ b/router/src/test/java/ironwind/net/RouterTest.java
@@ -299,8 +299,8 @@
         assertThat(client.lastData).endsWith(value);
         Statement sent = Statement.parse(replica.requests.take());
         assertThat(sent.text()).isEqualTo("SELECT val FROM state WHERE uid = 'k'");
-        assertThat(sent.facts()).containsEntry("id", "r0").containsEntry("cluster", "2");
-        assertThat(sent.needWhole("d", 1, 1_000)).isBetween(1L, 700L);
+        assertThat(sent.attributes()).containsEntry("id", "r0").containsEntry("cluster", "2");
+        assertThat(sent.requiredLong("d", 1, 1_000)).isBetween(1L, 700L);
     }
 
     @Test
@@ -756,9 +756,9 @@
                 letters.append(frame.type());
                 if (frame.type() == 'D') {
                     lastData = frame.body();
-                } else if (HostMessage.decode(frame) instanceof HostMessage.Failed failed) {
-                    String detail = failed.failure().detail();
-                    error = "E" + failed.failure().code() + (detail == null ? "" : " " + detail);
+                } else if (HostMessage.decode(frame) instanceof HostMessage.ErrorResponse failed) {
+                    String detail = failed.error().detail();
+                    error = "E" + failed.error().sqlState() + (detail == null ? "" : " " + detail);
                 } else if (frame.type() == 'Z') {
                     return error == null ? letters.toString() : error;
                 }
@@ -827,7 +827,7 @@
                     switch (act(true)) {
                         case "no room" ->
                                 wire.send(
-                                        Encoder.fatal(
+                                        Encoder.fatalError(
                                                 new PgError("53300", "no connection left", null)));
                         case "babble" ->
                                 wire.send("what is this?".getBytes(StandardCharsets.UTF_8));
@@ -836,7 +836,7 @@
                     return null;
                 }
                 if (!act(false).equals("mute")) {
-                    wire.send(Encoder.welcome());
+                    wire.send(Encoder.startupResponse());
                 }
                 for (Frame frame = wire.next(); frame != null; frame = wire.next()) {
                     String sql =
@@ -864,15 +864,17 @@
             mayHaveRun += List.of("full", "miss").contains(act) ? 0 : 1;
             requests.add(sql);
             switch (act) {
-                case "row" -> row(wire, Encoder.ready());
+                case "row" -> row(wire, Encoder.readyForQuery());
                 case "row and close" -> row(wire);
                 case "wait" -> {
                     released.await();
-                    row(wire, Encoder.ready());
+                    row(wire, Encoder.readyForQuery());
                 }
-                case "full" -> wire.send(Encoder.failure(new PgError("53300", "full", null)));
-                case "miss" -> wire.send(Encoder.failure(new PgError("25006", "no primary", null)));
-                case "error" -> wire.send(Encoder.failure(new PgError("XX000", "broken", null)));
+                case "full" -> wire.send(Encoder.errorAndReady(new PgError("53300", "full", null)));
+                case "miss" ->
+                        wire.send(Encoder.errorAndReady(new PgError("25006", "no primary", null)));
+                case "error" ->
+                        wire.send(Encoder.errorAndReady(new PgError("XX000", "broken", null)));
                 case "two rows" -> {
                     byte[] whole = Encoder.row(Row.ofText("val", "x"));
                     wire.send(Arrays.copyOf(whole, whole.length - 6 - 14));
@@ -883,18 +885,24 @@
                 case "huge" -> wire.send(HexFormat.of().parseHex("44b2d05e00"));
                 case "half" -> wire.send(HexFormat.of().parseHex("5400000020"));
                 case "odd load" ->
-                        row(wire, HexFormat.of().parseHex("53000000086c6f6164"), Encoder.ready());
+                        row(
+                                wire,
+                                HexFormat.of().parseHex("53000000086c6f6164"),
+                                Encoder.readyForQuery());
                 case "row and copy" -> {
-                    row(wire, Encoder.ready());
-                    row(wire, Encoder.ready());
+                    row(wire, Encoder.readyForQuery());
+                    row(wire, Encoder.readyForQuery());
                 }
                 case "row and late copy" -> {
-                    row(wire, Encoder.ready());
+                    row(wire, Encoder.readyForQuery());
                     Thread.sleep(1);
-                    row(wire, Encoder.ready());
+                    row(wire, Encoder.readyForQuery());
                 }
                 case "row and noise" ->
-                        row(wire, Encoder.ready(), "noise".getBytes(StandardCharsets.UTF_8));
+                        row(
+                                wire,
+                                Encoder.readyForQuery(),
+                                "noise".getBytes(StandardCharsets.UTF_8));
                 case "garbage" -> wire.send("what is this?".getBytes(StandardCharsets.UTF_8));
                 case "reset" -> wire.socket.setSoLinger(true, 0);
                 default -> {}
@@ -905,7 +913,7 @@
         private void row(Wire wire, byte[]... end) throws IOException {
             byte[] whole =
                     Encoder.row(new Row(Row.ofText("val", "").description(), data(), "SELECT 1"));
-            int ready = whole.length - Encoder.ready().length;
+            int ready = whole.length - Encoder.readyForQuery().length;
             wire.send(
                     Arrays.copyOf(whole, ready),
                     parameter("role", role),
--- a/router/src/test/java/ironwind/pg/PgTest.java
+++ b/router/src/test/java/ironwind/pg/PgTest.java
@@ -23,7 +23,7 @@
         return bytes;
     }
 
-    private static byte[] joined(byte[]... parts) {
+    private static byte[] concat(byte[]... parts) {
         ByteArrayOutputStream all = new ByteArrayOutputStream();
         for (byte[] part : parts) {
             all.writeBytes(part);
@@ -31,33 +31,34 @@
         return all.toByteArray();
     }
 
-    private static List<ClientMessage> messages(byte[]... pieces) {
-        FrameDecoder frames = new FrameDecoder(true, ClientMessage.TYPES, 200);
-        List<ClientMessage> found = new ArrayList<>();
+    private static List<ClientMessage> decodeClientMessages(byte[]... pieces) {
+        FrameDecoder decoder = new FrameDecoder(true, ClientMessage.TYPES, 200);
+        List<ClientMessage> messages = new ArrayList<>();
         for (byte[] piece : pieces) {
-            frames.add(piece);
-            for (Frame frame = frames.next(); frame != null; frame = frames.next()) {
-                found.add(ClientMessage.decode(frame));
-                frames.started();
+            decoder.add(piece);
+            for (Frame frame = decoder.next(); frame != null; frame = decoder.next()) {
+                messages.add(ClientMessage.decode(frame));
+                decoder.startupDone();
             }
         }
-        assertThat(frames.midway()).isFalse();
-        return found;
+        assertThat(decoder.hasBufferedBytes()).isFalse();
+        return messages;
     }
 
     /**
-     * Guards against a start-up and its first query coming in one piece, or any of them in several.
+     * Guards against messages that are lost or garbled when the startup message and the first query
+     * arrive in one piece, or when a message arrives in several.
      */
     @Test
-    void messagesAreTheSameHoweverTheyAreSplit() {
+    void decodesTheSameMessagesForEverySplitOfTheInput() {
         byte[] all =
-                joined(
+                concat(
                         Encoder.startup("client", "core"),
                         Encoder.query("/* id=1 */ SELECT 'é'"),
                         Encoder.query(""),
                         bytes("58 00000004"));
-        List<ClientMessage> whole = messages(all);
-        assertThat(whole)
+        List<ClientMessage> expected = decodeClientMessages(all);
+        assertThat(expected)
                 .extracting(Object::getClass)
                 .containsExactly(
                         ClientMessage.Startup.class,
@@ -67,11 +68,11 @@
         for (int first = 1; first < all.length; first++) {
             for (int second = first; second < all.length; second++) {
                 assertThat(
-                                messages(
+                                decodeClientMessages(
                                         Arrays.copyOf(all, first),
                                         Arrays.copyOfRange(all, first, second),
                                         Arrays.copyOfRange(all, second, all.length)))
-                        .isEqualTo(whole);
+                        .isEqualTo(expected);
             }
         }
     }
@@ -88,38 +89,43 @@
         "00000008 00030000 5100000006 4142, 08P01",
         "00000008 00030000 0000000004, 08P01"
     })
-    void badMessagesAreToldBySqlstate(String hex, String code) {
-        assertThatThrownBy(() -> messages(bytes(hex)))
+    void malformedMessagesAreRejectedWithSqlState(String hex, String code) {
+        assertThatThrownBy(() -> decodeClientMessages(bytes(hex)))
                 .isInstanceOfSatisfying(
-                        PgException.class, fault -> assertThat(fault.code).isEqualTo(code));
+                        PgException.class,
+                        exception -> assertThat(exception.sqlState).isEqualTo(code));
     }
 
     @ParameterizedTest(name = "{0}: {1}")
     @CsvSource({
-        "04d2162f, Encryption",
-        "04d21630, Encryption",
+        "04d2162f, EncryptionRequest",
+        "04d21630, EncryptionRequest",
         "04d2162e, CancelRequest",
         "00030002, Startup"
     })
-    void whatComesFirstIsToldByItsNumber(String number, String kind) {
-        assertThat(messages(bytes("00000008" + number)).get(0).getClass().getSimpleName())
+    void firstMessageIsIdentifiedByItsCode(String number, String kind) {
+        assertThat(
+                        decodeClientMessages(bytes("00000008" + number))
+                                .get(0)
+                                .getClass()
+                                .getSimpleName())
                 .isEqualTo(kind);
     }
 
-    private static List<HostMessage> hostMessages(byte[] bytes) {
-        FrameDecoder frames =
-                new FrameDecoder(false, HostMessage.TYPES, WireFormat.LARGEST_MESSAGE);
-        frames.add(bytes);
-        List<HostMessage> found = new ArrayList<>();
-        for (Frame frame = frames.next(); frame != null; frame = frames.next()) {
-            found.add(HostMessage.decode(frame));
+    private static List<HostMessage> decodeHostMessages(byte[] bytes) {
+        FrameDecoder decoder =
+                new FrameDecoder(false, HostMessage.TYPES, WireFormat.MAX_MESSAGE_BYTES);
+        decoder.add(bytes);
+        List<HostMessage> messages = new ArrayList<>();
+        for (Frame frame = decoder.next(); frame != null; frame = decoder.next()) {
+            messages.add(HostMessage.decode(frame));
         }
-        return found;
+        return messages;
     }
 
     @ParameterizedTest
     @ValueSource(ints = {0, 1, 255, 65_536})
-    void aRowPassesThroughByteByByte(int size) {
+    void rowsPassThroughUnchanged(int size) {
         byte[] data = ByteBuffer.allocate(6 + size).putShort((short) 1).putInt(size).array();
         for (int i = 0; i < size; i++) {
             data[6 + i] = (byte) i;
@@ -129,20 +135,24 @@
                         bytes("0001 76616c00 00000000 0000 00000011 ffff ffffffff 0001"),
                         data,
                         "SELECT 1");
-        List<HostMessage> said = hostMessages(Encoder.row(row));
-        assertThat(((HostMessage.Description) said.get(0)).body()).isEqualTo(row.description());
-        assertThat(((HostMessage.Data) said.get(1)).body()).isEqualTo(data);
-        assertThat(said.subList(2, 4))
-                .containsExactly(new HostMessage.Complete("SELECT 1"), new HostMessage.Ready());
+        List<HostMessage> messages = decodeHostMessages(Encoder.row(row));
+        assertThat(((HostMessage.RowDescription) messages.get(0)).body())
+                .isEqualTo(row.description());
+        assertThat(((HostMessage.DataRow) messages.get(1)).body()).isEqualTo(data);
+        assertThat(messages.subList(2, 4))
+                .containsExactly(
+                        new HostMessage.CommandComplete("SELECT 1"),
+                        new HostMessage.ReadyForQuery());
     }
 
     @Test
-    void failuresKeepCodeMessageAndDetail() {
-        PgError failure = new PgError(PgError.TOO_MANY, "full", "250");
-        assertThat(hostMessages(Encoder.failure(failure)))
-                .containsExactly(new HostMessage.Failed(failure), new HostMessage.Ready());
-        assertThat(hostMessages(Encoder.fatal(new PgError("08P01", "no", null))))
-                .containsExactly(new HostMessage.Failed(new PgError("08P01", "no", null)));
+    void errorsKeepSqlStateMessageAndDetail() {
+        PgError error = new PgError(PgError.TOO_MANY_CONNECTIONS, "full", "250");
+        assertThat(decodeHostMessages(Encoder.errorAndReady(error)))
+                .containsExactly(
+                        new HostMessage.ErrorResponse(error), new HostMessage.ReadyForQuery());
+        assertThat(decodeHostMessages(Encoder.fatalError(new PgError("08P01", "no", null))))
+                .containsExactly(new HostMessage.ErrorResponse(new PgError("08P01", "no", null)));
         assertThat(Row.ofText("stats", "a=1").text()).isEqualTo("a=1");
     }
 
@@ -155,18 +165,19 @@
                 "/* id=9b,x,=,d=480 */ INSERT INTO state VALUES ('k1', '\\x9f*/03') | 9b | 480 | k1",
                 "/* id=9b,d=480 */ SELECT 1 | 9b | 480 | "
             })
-    void statementsAreReadAndPassedOnWithTheTimeLeftAlone(
-            String sql, String id, long waits, String key) {
+    void statementsAreParsedAndForwardedWithOnlyTheTimeLeftReplaced(
+            String sql, String id, long millis, String key) {
         Statement statement = Statement.parse(sql);
-        assertThat(statement.need("id")).isEqualTo(id);
-        assertThat(statement.needWhole("d", 1, 1_000)).isEqualTo(waits);
-        assertThat(statement.key()).isEqualTo(key);
-        Statement sent = Statement.parse(statement.waitingFor(77));
-        assertThat(sent.text())
+        assertThat(statement.required("id")).isEqualTo(id);
+        assertThat(statement.requiredLong("d", 1, 1_000)).isEqualTo(millis);
+        assertThat(statement.rowKey()).isEqualTo(key);
+        Statement forwarded = Statement.parse(statement.withTimeLeft(77));
+        assertThat(forwarded.text())
                 .isEqualTo(statement.text())
                 .isEqualTo(sql.substring(sql.indexOf("*/") + 2).strip());
-        assertThat(sent.needWhole("d", 1, 1_000)).isEqualTo(77);
-        assertThat(sent.facts().keySet()).containsExactlyElementsOf(statement.facts().keySet());
+        assertThat(forwarded.requiredLong("d", 1, 1_000)).isEqualTo(77);
+        assertThat(forwarded.attributes().keySet())
+                .containsExactlyElementsOf(statement.attributes().keySet());
     }
 
     @ParameterizedTest(name = "{0}")
@@ -183,16 +194,17 @@
                 "/* id=1,d=1,id=2 */ SELECT 1",
                 "/* id=1,d=1 */ SELECT 'open"
             })
-    void badCommentsAreSyntaxErrors(String sql) {
+    void malformedStatementsAreSyntaxErrors(String sql) {
         assertThatThrownBy(
                         () -> {
                             Statement statement = Statement.parse(sql);
-                            statement.need("id");
-                            statement.needWhole("d", 1, 1_000);
-                            statement.key();
+                            statement.required("id");
+                            statement.requiredLong("d", 1, 1_000);
+                            statement.rowKey();
                         })
                 .isInstanceOfSatisfying(
                         PgException.class,
-                        fault -> assertThat(fault.code).isEqualTo(PgException.SYNTAX));
+                        exception ->
+                                assertThat(exception.sqlState).isEqualTo(PgException.SYNTAX_ERROR));
     }
 }
--- a/standin/src/main/java/ironwind/standin/StandInHost.java
+++ b/standin/src/main/java/ironwind/standin/StandInHost.java
@@ -51,12 +51,12 @@
 
     private synchronized void record(Statement statement) {
         if (records) {
-            ran.merge(statement.facts().getOrDefault("id", ""), 1, Integer::sum);
+            ran.merge(statement.attributes().getOrDefault("id", ""), 1, Integer::sum);
         }
     }
 
     private static int size(Statement statement) {
-        String key = statement.key();
+        String key = statement.rowKey();
         return key != null && key.startsWith(BIG)
                 ? Integer.parseInt(key.substring(BIG.length()))
                 : USUAL_BYTES;
@@ -64,7 +64,7 @@
 
     private final class Connection implements Loop.Handler {
         private final FrameDecoder frames =
-                new FrameDecoder(true, ClientMessage.TYPES, WireFormat.LARGEST_MESSAGE);
+                new FrameDecoder(true, ClientMessage.TYPES, WireFormat.MAX_MESSAGE_BYTES);
 
         @Override
         public void received(Link link, byte[] bytes) {
@@ -72,8 +72,8 @@
             for (Frame frame = frames.next(); frame != null; frame = frames.next()) {
                 ClientMessage message = ClientMessage.decode(frame);
                 if (message instanceof ClientMessage.Startup) {
-                    frames.started();
-                    link.write(Encoder.welcome());
+                    frames.startupDone();
+                    link.write(Encoder.startupResponse());
                 } else if (message instanceof ClientMessage.Query query) {
                     Statement statement = Statement.parse(query.sql());
                     link.loop().at(System.nanoTime() + workNanos, () -> answer(link, statement));
@@ -86,7 +86,7 @@
 
         private void answer(Link link, Statement statement) {
             if (statement.text().isEmpty()) {
-                link.write(Encoder.emptyQuery());
+                link.write(Encoder.emptyQueryResponse());
                 return;
             }
             record(statement);
