--- a/cli/src/main/java/ironwind/cli/Check.java
+++ b/cli/src/main/java/ironwind/cli/Check.java
@@ -1,6 +1,6 @@
 package ironwind.cli;
 
-import ironwind.hcl.HclFault;
+import ironwind.hcl.HclException;
 import ironwind.idle.Limits;
 import ironwind.model.Span;
 import ironwind.start.Installation;
@@ -40,7 +40,7 @@
         Limits limits = facts == null ? USUAL : StartFacts.read(facts).idleLimits();
         try {
             Installation.read(file, limits);
-        } catch (HclFault fault) {
+        } catch (HclException fault) {
             fault.lines().forEach(spec.commandLine().getErr()::println);
             return 1;
         }
--- a/router/src/main/java/ironwind/boot/Main.java
+++ b/router/src/main/java/ironwind/boot/Main.java
@@ -1,7 +1,7 @@
 package ironwind.boot;
 
 import ironwind.adapter.Adapter;
-import ironwind.hcl.HclFault;
+import ironwind.hcl.HclException;
 import ironwind.net.Log;
 import ironwind.start.Installation;
 import ironwind.start.Installation.LogForm;
@@ -65,7 +65,7 @@
         } catch (Exception e) {
             errors.println(
                     "ironwind: "
-                            + (e instanceof StartFault || e instanceof HclFault
+                            + (e instanceof StartFault || e instanceof HclException
                                     ? e.getMessage()
                                     : e));
             return START_ERROR;
--- a/router/src/main/java/ironwind/hcl/Section.java
+++ b/router/src/main/java/ironwind/hcl/BlockReader.java
@@ -19,7 +19,7 @@
  * where it is absent. What is wrong is complained of, and the default stands in, so that one pass
  * finds everything. {@link #done} complains of names that nobody asked for.
  */
-public final class Section {
+public final class BlockReader {
     private static final Pattern TIME = Pattern.compile("([0-9]+)(us|ms|s|m|h)");
     private static final Pattern SIZE = Pattern.compile("([0-9]+)(B|KiB|MiB|GiB)");
     private static final Map<String, Long> MICROS =
@@ -32,15 +32,15 @@
 
     private final Block block;
     private final String path;
-    private final Complaints complaints;
+    private final Diagnostics complaints;
     private final Map<String, Attribute> attributes = new HashMap<>();
     private final Set<String> asked = new HashSet<>();
 
-    public Section(Block block, Complaints complaints) {
+    public BlockReader(Block block, Diagnostics complaints) {
         this(block, block.name(), complaints);
     }
 
-    private Section(Block block, String path, Complaints complaints) {
+    private BlockReader(Block block, String path, Diagnostics complaints) {
         this.block = block;
         this.path = path;
         this.complaints = complaints;
@@ -62,7 +62,7 @@
      * The block of this name, which may stand once and bears no label; an empty one where it is
      * absent.
      */
-    public Section only(String name) {
+    public BlockReader only(String name) {
         asked.add(name);
         List<Block> found =
                 block.blocks().stream().filter(each -> each.name().equals(name)).toList();
@@ -83,7 +83,7 @@
                 found.isEmpty()
                         ? new Block(name, List.of(), block.line(), List.of(), List.of())
                         : found.get(0);
-        return new Section(one, of(name), complaints);
+        return new BlockReader(one, of(name), complaints);
     }
 
     public boolean has(String name) {
--- a/router/src/main/java/ironwind/hcl/Complaints.java
+++ b/router/src/main/java/ironwind/hcl/Diagnostics.java
@@ -5,13 +5,13 @@
 import java.util.List;
 
 /** What is wrong with one file, by line. */
-public final class Complaints {
+public final class Diagnostics {
     private final String file;
     private final List<Complaint> all = new ArrayList<>();
 
     private record Complaint(int line, String words) {}
 
-    public Complaints(String file) {
+    public Diagnostics(String file) {
         this.file = file;
     }
 
@@ -34,7 +34,7 @@
     /** Throws what was complained of, where anything was. */
     public void throwIfAny() {
         if (!all.isEmpty()) {
-            throw new HclFault(lines());
+            throw new HclException(lines());
         }
     }
 }
--- a/router/src/main/java/ironwind/hcl/HclFault.java
+++ b/router/src/main/java/ironwind/hcl/HclException.java
@@ -3,12 +3,12 @@
 import java.util.List;
 
 /** A file that is not taken, with all that is wrong with it. */
-public final class HclFault extends RuntimeException {
+public final class HclException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
     private final transient List<String> lines;
 
-    public HclFault(List<String> lines) {
+    public HclException(List<String> lines) {
         super(String.join("\n", lines), null, false, false);
         this.lines = List.copyOf(lines);
     }
--- a/router/src/main/java/ironwind/hcl/HclReader.java
+++ b/router/src/main/java/ironwind/hcl/HclReader.java
@@ -17,13 +17,13 @@
 public final class HclReader {
     private HclReader() {}
 
-    /** The file as a block; a {@link HclFault} tells what is no HCL, and an unreadable file. */
-    public static Block read(Path file, Complaints complaints) {
+    /** The file as a block; a {@link HclException} tells what is no HCL, and an unreadable file. */
+    public static Block read(Path file, Diagnostics complaints) {
         String text;
         try {
             text = Files.readString(file);
         } catch (IOException e) {
-            throw new HclFault(List.of(file + " cannot be read: " + e));
+            throw new HclException(List.of(file + " cannot be read: " + e));
         }
         return parse(text, complaints);
     }
@@ -31,7 +31,7 @@
     /**
      * The text as a block. Where it is no HCL, complaints say so, and a fault is thrown with them.
      */
-    public static Block parse(String text, Complaints complaints) {
+    public static Block parse(String text, Diagnostics complaints) {
         BaseErrorListener listener =
                 new BaseErrorListener() {
                     @Override
@@ -62,7 +62,7 @@
             List<String> labels,
             int line,
             List<HclParser.ItemContext> items,
-            Complaints complaints) {
+            Diagnostics complaints) {
         List<Attribute> attributes = new ArrayList<>();
         List<Block> blocks = new ArrayList<>();
         int before = 0;
--- a/router/src/main/java/ironwind/start/IdleBlock.java
+++ b/router/src/main/java/ironwind/start/IdleBlock.java
@@ -1,6 +1,6 @@
 package ironwind.start;
 
-import ironwind.hcl.Section;
+import ironwind.hcl.BlockReader;
 import ironwind.idle.Limits;
 import ironwind.model.Span;
 
@@ -15,7 +15,7 @@
 
     private IdleBlock() {}
 
-    static Limits read(Section idle, Limits otherwise) {
+    static Limits read(BlockReader idle, Limits otherwise) {
         int connections = idle.whole("connections", 1, MOST_CONNECTIONS, otherwise.connections());
         int newPerSecond = idle.whole("new_per_second", 0, MOST_A_SECOND, otherwise.newPerSecond());
         Limits limits =
--- a/router/src/main/java/ironwind/start/Installation.java
+++ b/router/src/main/java/ironwind/start/Installation.java
@@ -1,9 +1,9 @@
 package ironwind.start;
 
 import ironwind.hcl.Block;
-import ironwind.hcl.Complaints;
+import ironwind.hcl.BlockReader;
+import ironwind.hcl.Diagnostics;
 import ironwind.hcl.HclReader;
-import ironwind.hcl.Section;
 import ironwind.idle.Limits;
 import java.nio.file.Path;
 
@@ -31,18 +31,18 @@
     }
 
     /**
-     * Reads a file whole or not at all; an {@link ironwind.hcl.HclFault} tells all that is wrong
-     * with it.
+     * Reads a file whole or not at all; an {@link ironwind.hcl.HclException} tells all that is
+     * wrong with it.
      */
     public static Installation read(Path file, Limits otherwise) {
-        Complaints complaints = new Complaints(file.toString());
+        Diagnostics complaints = new Diagnostics(file.toString());
         Block block = HclReader.read(file, complaints);
         return read(block, otherwise, complaints);
     }
 
-    static Installation read(Block file, Limits otherwise, Complaints complaints) {
-        Section all = new Section(file, complaints);
-        Section log = all.only("log");
+    static Installation read(Block file, Limits otherwise, Diagnostics complaints) {
+        BlockReader all = new BlockReader(file, complaints);
+        BlockReader log = all.only("log");
         Installation read =
                 new Installation(
                         IdleBlock.read(all.only("idle"), otherwise),
--- a/router/src/test/java/ironwind/hcl/HclTest.java
+++ b/router/src/test/java/ironwind/hcl/HclTest.java
@@ -19,7 +19,7 @@
         BLOOD_ORANGE
     }
 
-    private final Complaints complaints = new Complaints("f.hcl");
+    private final Diagnostics complaints = new Diagnostics("f.hcl");
 
     @Test
     void readsWhatTheFormAllows() {
@@ -63,9 +63,9 @@
                 "a = 1 b = 2 | f.hcl:1: two things stand in one line"
             })
     void tellsWhereAFileIsNoHcl(String text, String told) {
-        HclFault fault =
+        HclException fault =
                 catchThrowableOfType(
-                        HclFault.class,
+                        HclException.class,
                         () -> {
                             HclReader.parse(text.replace(';', '\n'), complaints);
                             complaints.throwIfAny();
@@ -77,8 +77,8 @@
     @Property(tries = 500, seed = "20261203")
     void whateverAFileHoldsItIsReadOrComplainedOf(
             @ForAll @CharRange(from = ' ', to = '}') String text) {
-        HclFault fault =
-                catchThrowableOfType(HclFault.class, () -> HclReader.parse(text, complaints));
+        HclException fault =
+                catchThrowableOfType(HclException.class, () -> HclReader.parse(text, complaints));
         assertThat(fault == null || !fault.lines().isEmpty()).isTrue();
     }
 
@@ -112,12 +112,12 @@
                 "in {;x = 1;} | f.hcl:2: in.x is unknown here"
             })
     void eachValueIsCheckedWhereItStands(String text, String told) {
-        HclFault fault =
+        HclException fault =
                 catchThrowableOfType(
-                        HclFault.class,
+                        HclException.class,
                         () -> {
-                            Section section =
-                                    new Section(
+                            BlockReader section =
+                                    new BlockReader(
                                             HclReader.parse(text.replace(';', '\n'), complaints),
                                             complaints);
                             section.whole("n", 1, 10, 3);
@@ -141,8 +141,8 @@
 
     @Test
     void allComplaintsComeAtOnceInTheOrderOfTheirLines() {
-        Section section =
-                new Section(
+        BlockReader section =
+                new BlockReader(
                         HclReader.parse("z = 1\nn = 0\nin {\n y = 2\n}\n", complaints), complaints);
         section.only("in").done();
         section.whole("n", 1, 10, 3);
--- a/router/src/test/java/ironwind/start/InstallationTest.java
+++ b/router/src/test/java/ironwind/start/InstallationTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.catchThrowableOfType;
 
-import ironwind.hcl.HclFault;
+import ironwind.hcl.HclException;
 import ironwind.idle.Limits;
 import ironwind.model.Span;
 import ironwind.start.Installation.LogForm;
@@ -85,9 +85,10 @@
                 "new_at_once = 5 | 2: idle.new_at_once: says nothing without new_per_second"
             })
     void whatDoesNotGoTogetherIsComplainedOf(String text, String told) {
-        HclFault fault =
+        HclException fault =
                 catchThrowableOfType(
-                        HclFault.class, () -> read("idle {\n" + text.replace(';', '\n') + "\n}"));
+                        HclException.class,
+                        () -> read("idle {\n" + text.replace(';', '\n') + "\n}"));
         assertThat(fault.lines()).hasSize(1);
         assertThat(fault.lines().get(0)).contains("i.hcl:" + told);
     }
