--- a/cli/src/main/java/ironwind/cli/Check.java
+++ b/cli/src/main/java/ironwind/cli/Check.java
@@ -41,7 +41,7 @@
         try {
             Installation.read(file, limits);
         } catch (HclException fault) {
-            fault.lines().forEach(spec.commandLine().getErr()::println);
+            fault.messages().forEach(spec.commandLine().getErr()::println);
             return 1;
         }
         spec.commandLine().getOut().println(file + ": good");
--- a/router/src/main/antlr4/ironwind/hcl/Hcl.g4
+++ b/router/src/main/antlr4/ironwind/hcl/Hcl.g4
@@ -1,4 +1,7 @@
-/** The part of HCL that our files use: attributes, blocks with labels, literals, lists. No expressions. */
+/**
+ * The subset of HCL that settings files use: attributes, blocks with labels, literals and lists, but
+ * no expressions.
+ */
 grammar Hcl;
 
 file : item* EOF ;
@@ -20,6 +23,6 @@
 NUMBER : '-'? [0-9]+ ('.' [0-9]+)? ([eE] [+-]? [0-9]+)? ;
 STRING : '"' (~["\\\r\n] | '\\' [nrt"\\])* '"' ;
 
-COMMENT : ('#' | '//') ~[\r\n]* -> skip ;
-REMARK : '/*' .*? '*/' -> skip ;
-SPACE : [ \t\r\n]+ -> skip ;
+LINE_COMMENT : ('#' | '//') ~[\r\n]* -> skip ;
+BLOCK_COMMENT : '/*' .*? '*/' -> skip ;
+WHITESPACE : [ \t\r\n]+ -> skip ;
--- a/router/src/main/java/ironwind/hcl/BlockReader.java
+++ b/router/src/main/java/ironwind/hcl/BlockReader.java
@@ -15,107 +15,118 @@
 import java.util.regex.Pattern;
 
 /**
- * One block while it is checked: each reader takes a name, what its value may be, and what holds
- * where it is absent. What is wrong is complained of, and the default stands in, so that one pass
- * finds everything. {@link #done} complains of names that nobody asked for.
+ * Reads and validates the values of one block. Each method takes the name of an attribute, the
+ * values that it may have and a default for an absent attribute. An invalid value is added to the
+ * diagnostics and replaced by the default, so that one pass finds all problems. {@link
+ * #reportUnknownNames} reports the names that no method was called with.
  */
 public final class BlockReader {
-    private static final Pattern TIME = Pattern.compile("([0-9]+)(us|ms|s|m|h)");
+    private static final Pattern DURATION = Pattern.compile("([0-9]+)(us|ms|s|m|h)");
     private static final Pattern SIZE = Pattern.compile("([0-9]+)(B|KiB|MiB|GiB)");
-    private static final Map<String, Long> MICROS =
+    private static final Map<String, Long> MICROS_PER_UNIT =
             Map.of("us", 1L, "ms", 1_000L, "s", 1_000_000L, "m", 60_000_000L, "h", 3_600_000_000L);
-    private static final Map<String, Long> BYTES =
+    private static final Map<String, Long> BYTES_PER_UNIT =
             Map.of("B", 1L, "KiB", 1L << 10, "MiB", 1L << 20, "GiB", 1L << 30);
 
-    /** Numbers longer than this are out of every range. */
-    private static final int MOST_DIGITS = 12;
+    /** Numbers with more digits than this are out of every range. */
+    private static final int MAX_DIGITS = 12;
 
     private final Block block;
     private final String path;
-    private final Diagnostics complaints;
+    private final Diagnostics diagnostics;
     private final Map<String, Attribute> attributes = new HashMap<>();
-    private final Set<String> asked = new HashSet<>();
+    private final Set<String> knownNames = new HashSet<>();
 
-    public BlockReader(Block block, Diagnostics complaints) {
-        this(block, block.name(), complaints);
+    /**
+     * Creates a reader; attributes that are defined twice are reported at once.
+     *
+     * @param diagnostics receives the problems found
+     */
+    public BlockReader(Block block, Diagnostics diagnostics) {
+        this(block, block.name(), diagnostics);
     }
 
-    private BlockReader(Block block, String path, Diagnostics complaints) {
+    private BlockReader(Block block, String path, Diagnostics diagnostics) {
         this.block = block;
         this.path = path;
-        this.complaints = complaints;
+        this.diagnostics = diagnostics;
         for (Attribute attribute : block.attributes()) {
             Attribute first = attributes.putIfAbsent(attribute.name(), attribute);
             if (first != null) {
-                complaints.add(
+                diagnostics.add(
                         attribute.line(),
-                        of(attribute.name()) + " is given twice, first in line " + first.line());
+                        qualifiedName(attribute.name())
+                                + " is defined twice, first on line "
+                                + first.line());
             }
         }
     }
 
-    private String of(String name) {
+    private String qualifiedName(String name) {
         return path.isEmpty() ? name : path + "." + name;
     }
 
     /**
-     * The block of this name, which may stand once and bears no label; an empty one where it is
-     * absent.
+     * Returns a reader of the nested block with this name, which may occur once and has no labels;
+     * the reader of an empty block if it is absent.
      */
-    public BlockReader only(String name) {
-        asked.add(name);
+    public BlockReader block(String name) {
+        knownNames.add(name);
         List<Block> found =
                 block.blocks().stream().filter(each -> each.name().equals(name)).toList();
         for (Block each : found) {
             if (each != found.get(0)) {
-                complaints.add(
+                diagnostics.add(
                         each.line(),
                         "the block "
-                                + of(name)
-                                + " is given twice, first in line "
+                                + qualifiedName(name)
+                                + " is defined twice, first on line "
                                 + found.get(0).line());
             }
             if (!each.labels().isEmpty()) {
-                complaints.add(each.line(), "the block " + of(name) + " bears no label");
+                diagnostics.add(
+                        each.line(), "the block " + qualifiedName(name) + " takes no labels");
             }
         }
-        Block one =
+        Block nested =
                 found.isEmpty()
                         ? new Block(name, List.of(), block.line(), List.of(), List.of())
                         : found.get(0);
-        return new BlockReader(one, of(name), complaints);
+        return new BlockReader(nested, qualifiedName(name), diagnostics);
     }
 
+    /** Whether the attribute is present. */
     public boolean has(String name) {
         return attributes.containsKey(name);
     }
 
-    public int whole(String name, int least, int most, int otherwise) {
+    /** Returns an integer; both bounds are inclusive. */
+    public int integer(String name, int min, int max, int defaultValue) {
         return (int)
                 read(
                                 name,
-                                (long) otherwise,
-                                "a whole number from " + least + " to " + most,
+                                (long) defaultValue,
+                                "an integer from " + min + " to " + max,
                                 value ->
                                         value instanceof BigDecimal number
-                                                ? inRange(number, least, most)
+                                                ? inRange(number, min, max)
                                                 : null)
                         .longValue();
     }
 
-    private static Long inRange(BigDecimal number, long least, long most) {
-        boolean whole =
-                number.precision() - number.scale() <= MOST_DIGITS
+    private static Long inRange(BigDecimal number, long min, long max) {
+        boolean integral =
+                number.precision() - number.scale() <= MAX_DIGITS
                         && number.stripTrailingZeros().scale() <= 0;
-        long value = whole ? number.longValue() : least - 1;
-        return whole && value >= least && value <= most ? (Long) value : null;
+        long value = integral ? number.longValue() : min - 1;
+        return integral && value >= min && value <= max ? (Long) value : null;
     }
 
-    /** A part of a whole, from 0 to 1. */
-    public double part(String name, double otherwise) {
+    /** Returns a number from 0 to 1. */
+    public double fraction(String name, double defaultValue) {
         return read(
                 name,
-                otherwise,
+                defaultValue,
                 "a number from 0 to 1",
                 value ->
                         value instanceof BigDecimal number
@@ -125,66 +136,74 @@
                                 : null);
     }
 
-    public boolean flag(String name, boolean otherwise) {
+    /** Returns a boolean. */
+    public boolean bool(String name, boolean defaultValue) {
         return read(
                 name,
-                otherwise,
+                defaultValue,
                 "true or false",
                 value -> value instanceof Boolean flag ? flag : null);
     }
 
-    public String text(String name, String otherwise) {
-        return read(name, otherwise, "a text", value -> value instanceof String text ? text : null);
+    /** Returns a string. */
+    public String string(String name, String defaultValue) {
+        return read(
+                name,
+                defaultValue,
+                "a string",
+                value -> value instanceof String text ? text : null);
     }
 
-    /** A time such as "250ms". */
-    public Span span(String name, Span least, Span most, Span otherwise) {
+    /** Returns a duration such as "250ms"; both bounds are inclusive. */
+    public Span duration(String name, Span min, Span max, Span defaultValue) {
         return read(
                 name,
-                otherwise,
-                "a time such as \"250ms\" from " + told(least) + " to " + told(most),
+                defaultValue,
+                "a duration such as \"250ms\" from " + format(min) + " to " + format(max),
                 value -> {
                     Long us =
                             value instanceof String text
-                                    ? scaled(TIME.matcher(text), MICROS)
+                                    ? parseWithUnit(DURATION.matcher(text), MICROS_PER_UNIT)
                                     : null;
-                    return us != null && us >= least.us() && us <= most.us() ? new Span(us) : null;
+                    return us != null && us >= min.us() && us <= max.us() ? new Span(us) : null;
                 });
     }
 
-    /** A size such as "16MiB". */
-    public long bytes(String name, long least, long most, long otherwise) {
+    /** Returns a size in bytes, written such as "16MiB"; both bounds are inclusive. */
+    public long bytes(String name, long min, long max, long defaultValue) {
         return read(
                 name,
-                otherwise,
-                "a size such as \"16MiB\" from " + least + "B to " + most + "B",
+                defaultValue,
+                "a size such as \"16MiB\" from " + min + "B to " + max + "B",
                 value -> {
                     Long bytes =
-                            value instanceof String text ? scaled(SIZE.matcher(text), BYTES) : null;
-                    return bytes != null && bytes >= least && bytes <= most ? bytes : null;
+                            value instanceof String text
+                                    ? parseWithUnit(SIZE.matcher(text), BYTES_PER_UNIT)
+                                    : null;
+                    return bytes != null && bytes >= min && bytes <= max ? bytes : null;
                 });
     }
 
-    private static Long scaled(Matcher matcher, Map<String, Long> units) {
-        if (!matcher.matches() || matcher.group(1).length() > MOST_DIGITS) {
+    private static Long parseWithUnit(Matcher matcher, Map<String, Long> units) {
+        if (!matcher.matches() || matcher.group(1).length() > MAX_DIGITS) {
             return null;
         }
         return Long.parseLong(matcher.group(1)) * units.get(matcher.group(2));
     }
 
-    private static String told(Span span) {
+    private static String format(Span span) {
         return span.us() % 1_000_000 == 0 ? span.us() / 1_000_000 + "s" : span.us() / 1_000 + "ms";
     }
 
-    /** One of an enumeration's names, in lower case. */
-    public <E extends Enum<E>> E choice(String name, Class<E> type, E otherwise) {
+    /** Returns an enum constant, which is written in lower case. */
+    public <E extends Enum<E>> E constant(String name, Class<E> type, E defaultValue) {
         List<String> names =
                 Arrays.stream(type.getEnumConstants())
                         .map(each -> each.name().toLowerCase(Locale.ROOT))
                         .toList();
         return read(
                 name,
-                otherwise,
+                defaultValue,
                 "one of " + names,
                 value -> {
                     int at = names.indexOf(String.valueOf(value));
@@ -192,54 +211,62 @@
                 });
     }
 
-    private <T> T read(String name, T otherwise, String expected, Function<Object, T> reader) {
-        asked.add(name);
+    private <T> T read(String name, T defaultValue, String expected, Function<Object, T> reader) {
+        knownNames.add(name);
         Attribute attribute = attributes.get(name);
         if (attribute == null) {
-            return otherwise;
+            return defaultValue;
         }
         T value = reader.apply(attribute.value());
         if (value == null) {
             Object given =
                     attribute.value() instanceof String text ? '"' + text + '"' : attribute.value();
-            complaints.add(
-                    attribute.line(), of(name) + ": " + expected + " is expected, not " + given);
-            return otherwise;
+            diagnostics.add(
+                    attribute.line(),
+                    qualifiedName(name) + ": expected " + expected + ", got " + given);
+            return defaultValue;
         }
         return value;
     }
 
     /**
-     * Complains where something does not hold that takes two values to tell; at the first of those
-     * that is given.
+     * Reports a violated constraint between several attributes, at the line of the first of them
+     * that is present.
+     *
+     * @param valid whether the constraint holds
+     * @param names the attributes; the message names the first
      */
-    public void require(boolean holds, String words, String... names) {
-        if (!holds) {
+    public void require(boolean valid, String message, String... names) {
+        if (!valid) {
             int line =
                     Arrays.stream(names)
                             .filter(attributes::containsKey)
                             .mapToInt(name -> attributes.get(name).line())
                             .findFirst()
                             .orElse(block.line());
-            complaints.add(line, of(names[0]) + ": " + words);
+            diagnostics.add(line, qualifiedName(names[0]) + ": " + message);
         }
     }
 
-    /** Nothing more is asked for: what stands here and was not asked for is unknown. */
-    public void done() {
+    /**
+     * Reports the attributes and blocks whose names no method was called with. To be called last.
+     */
+    public void reportUnknownNames() {
         attributes.values().stream()
-                .filter(attribute -> !asked.contains(attribute.name()))
+                .filter(attribute -> !knownNames.contains(attribute.name()))
                 .forEach(
                         attribute ->
-                                complaints.add(
+                                diagnostics.add(
                                         attribute.line(),
-                                        of(attribute.name()) + " is unknown here"));
+                                        qualifiedName(attribute.name()) + " is unknown here"));
         block.blocks().stream()
-                .filter(each -> !asked.contains(each.name()))
+                .filter(each -> !knownNames.contains(each.name()))
                 .forEach(
                         each ->
-                                complaints.add(
+                                diagnostics.add(
                                         each.line(),
-                                        "the block " + of(each.name()) + " is unknown here"));
+                                        "the block "
+                                                + qualifiedName(each.name())
+                                                + " is unknown here"));
     }
 }
--- a/router/src/main/java/ironwind/hcl/Diagnostics.java
+++ b/router/src/main/java/ironwind/hcl/Diagnostics.java
@@ -4,37 +4,48 @@
 import java.util.Comparator;
 import java.util.List;
 
-/** What is wrong with one file, by line. */
+/** Collects the problems found in one file. */
 public final class Diagnostics {
     private final String file;
-    private final List<Complaint> all = new ArrayList<>();
+    private final List<Diagnostic> diagnostics = new ArrayList<>();
 
-    private record Complaint(int line, String words) {}
+    private record Diagnostic(int line, String message) {}
 
+    /**
+     * Creates an empty collection.
+     *
+     * @param file the file's name, which precedes each message
+     */
     public Diagnostics(String file) {
         this.file = file;
     }
 
-    public void add(int line, String words) {
-        all.add(new Complaint(line, words));
+    /** Adds a problem; lines are counted from 1. */
+    public void add(int line, String message) {
+        diagnostics.add(new Diagnostic(line, message));
     }
 
+    /** Whether no problem was added. */
     public boolean isEmpty() {
-        return all.isEmpty();
+        return diagnostics.isEmpty();
     }
 
-    /** One text a complaint, {@code file:line: words}, in the order of the lines. */
-    public List<String> lines() {
-        return all.stream()
-                .sorted(Comparator.comparingInt(Complaint::line))
-                .map(complaint -> file + ":" + complaint.line + ": " + complaint.words)
+    /** Returns the problems as {@code file:line: message}, sorted by line. */
+    public List<String> messages() {
+        return diagnostics.stream()
+                .sorted(Comparator.comparingInt(Diagnostic::line))
+                .map(diagnostic -> file + ":" + diagnostic.line + ": " + diagnostic.message)
                 .toList();
     }
 
-    /** Throws what was complained of, where anything was. */
+    /**
+     * Reports the problems.
+     *
+     * @throws HclException if any problem was added
+     */
     public void throwIfAny() {
-        if (!all.isEmpty()) {
-            throw new HclException(lines());
+        if (!diagnostics.isEmpty()) {
+            throw new HclException(messages());
         }
     }
 }
--- a/router/src/main/java/ironwind/hcl/HclException.java
+++ b/router/src/main/java/ironwind/hcl/HclException.java
@@ -2,18 +2,20 @@
 
 import java.util.List;
 
-/** A file that is not taken, with all that is wrong with it. */
+/** Thrown for a file that is unreadable or invalid; it lists all problems found. */
 public final class HclException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
-    private final transient List<String> lines;
+    private final transient List<String> messages;
 
-    public HclException(List<String> lines) {
-        super(String.join("\n", lines), null, false, false);
-        this.lines = List.copyOf(lines);
+    /** Creates an exception, without a stack trace, whose message has one line per problem. */
+    public HclException(List<String> messages) {
+        super(String.join("\n", messages), null, false, false);
+        this.messages = List.copyOf(messages);
     }
 
-    public List<String> lines() {
-        return lines;
+    /** Returns one message per problem. */
+    public List<String> messages() {
+        return messages;
     }
 }
--- a/router/src/main/java/ironwind/hcl/HclReader.java
+++ b/router/src/main/java/ironwind/hcl/HclReader.java
@@ -13,25 +13,34 @@
 import org.antlr.v4.runtime.RecognitionException;
 import org.antlr.v4.runtime.Recognizer;
 
-/** From a file's text to blocks. */
+/** Parses HCL files into blocks. */
 public final class HclReader {
     private HclReader() {}
 
-    /** The file as a block; a {@link HclException} tells what is no HCL, and an unreadable file. */
-    public static Block read(Path file, Diagnostics complaints) {
+    /**
+     * Reads and parses a file.
+     *
+     * @param diagnostics receives the problems found
+     * @throws HclException if the file cannot be read or has a syntax error
+     */
+    public static Block read(Path file, Diagnostics diagnostics) {
         String text;
         try {
             text = Files.readString(file);
         } catch (IOException e) {
             throw new HclException(List.of(file + " cannot be read: " + e));
         }
-        return parse(text, complaints);
+        return parse(text, diagnostics);
     }
 
     /**
-     * The text as a block. Where it is no HCL, complaints say so, and a fault is thrown with them.
+     * Parses a text. Two items on one line are added to the diagnostics, but nothing is thrown for
+     * them.
+     *
+     * @param diagnostics receives the problems found
+     * @throws HclException if the text has a syntax error, or if {@code diagnostics} was not empty
      */
-    public static Block parse(String text, Diagnostics complaints) {
+    public static Block parse(String text, Diagnostics diagnostics) {
         BaseErrorListener listener =
                 new BaseErrorListener() {
                     @Override
@@ -42,7 +51,8 @@
                             int column,
                             String message,
                             RecognitionException cause) {
-                        complaints.add(line, "no HCL at column " + (column + 1) + ": " + message);
+                        diagnostics.add(
+                                line, "syntax error at column " + (column + 1) + ": " + message);
                     }
                 };
         HclLexer lexer = new HclLexer(CharStreams.fromString(text));
@@ -52,68 +62,68 @@
         parser.removeErrorListeners();
         parser.addErrorListener(listener);
         HclParser.FileContext file = parser.file();
-        // What could not be parsed has holes in its tree: nothing more can be said of it.
-        complaints.throwIfAny();
-        return block("", List.of(), 1, file.item(), complaints);
+        // After a syntax error the parse tree is incomplete and cannot be converted.
+        diagnostics.throwIfAny();
+        return toBlock("", List.of(), 1, file.item(), diagnostics);
     }
 
-    private static Block block(
+    private static Block toBlock(
             String name,
             List<String> labels,
             int line,
             List<HclParser.ItemContext> items,
-            Diagnostics complaints) {
+            Diagnostics diagnostics) {
         List<Attribute> attributes = new ArrayList<>();
         List<Block> blocks = new ArrayList<>();
-        int before = 0;
+        int previousEndLine = 0;
         for (HclParser.ItemContext item : items) {
-            if (item.getStart().getLine() == before) {
-                complaints.add(before, "two things stand in one line");
+            if (item.getStart().getLine() == previousEndLine) {
+                diagnostics.add(previousEndLine, "an attribute or block must start on a new line");
             }
-            before = item.getStop().getLine();
+            previousEndLine = item.getStop().getLine();
             if (item.attribute() != null) {
                 HclParser.AttributeContext attribute = item.attribute();
                 attributes.add(
                         new Attribute(
                                 attribute.NAME().getText(),
-                                value(attribute.value()),
+                                toValue(attribute.value()),
                                 attribute.getStart().getLine()));
             } else {
                 HclParser.BlockContext inner = item.block();
-                List<String> names =
+                List<String> blockLabels =
                         inner.label().stream()
                                 .map(
                                         label ->
                                                 label.STRING() == null
                                                         ? label.getText()
-                                                        : unquoted(label.getText()))
+                                                        : unquote(label.getText()))
                                 .toList();
                 blocks.add(
-                        block(
+                        toBlock(
                                 inner.NAME().getText(),
-                                names,
+                                blockLabels,
                                 inner.getStart().getLine(),
                                 inner.item(),
-                                complaints));
+                                diagnostics));
             }
         }
         return new Block(name, labels, line, attributes, blocks);
     }
 
-    private static Object value(HclParser.ValueContext value) {
+    private static Object toValue(HclParser.ValueContext value) {
         if (value.STRING() != null) {
-            return unquoted(value.STRING().getText());
+            return unquote(value.STRING().getText());
         } else if (value.NUMBER() != null) {
             return new BigDecimal(value.NUMBER().getText());
         } else if (value.BOOL() != null) {
             return Boolean.valueOf(value.BOOL().getText());
         }
         List<Object> list = new ArrayList<>();
-        value.list().value().forEach(each -> list.add(value(each)));
+        value.list().value().forEach(element -> list.add(toValue(element)));
         return list;
     }
 
-    private static String unquoted(String quoted) {
+    private static String unquote(String quoted) {
         StringBuilder text = new StringBuilder();
         for (int i = 1; i < quoted.length() - 1; i++) {
             char c = quoted.charAt(i);
--- a/router/src/main/java/ironwind/hcl/package-info.java
+++ b/router/src/main/java/ironwind/hcl/package-info.java
@@ -1,4 +1,5 @@
 /**
- * Reads HCL files, and checks them whole: every complaint has its line, and all are told at once.
+ * Reads and validates HCL files. All problems of a file are collected, each with its line, and
+ * reported together.
  */
 package ironwind.hcl;
--- a/router/src/main/java/ironwind/start/IdleBlock.java
+++ b/router/src/main/java/ironwind/start/IdleBlock.java
@@ -16,41 +16,43 @@
     private IdleBlock() {}
 
     static Limits read(BlockReader idle, Limits otherwise) {
-        int connections = idle.whole("connections", 1, MOST_CONNECTIONS, otherwise.connections());
-        int newPerSecond = idle.whole("new_per_second", 0, MOST_A_SECOND, otherwise.newPerSecond());
+        int connections = idle.integer("connections", 1, MOST_CONNECTIONS, otherwise.connections());
+        int newPerSecond =
+                idle.integer("new_per_second", 0, MOST_A_SECOND, otherwise.newPerSecond());
         Limits limits =
                 new Limits(
                         connections,
-                        idle.whole("per_address", 0, MOST_CONNECTIONS, otherwise.perAddress()),
-                        idle.whole("per_customer", 0, MOST_CONNECTIONS, otherwise.perCustomer()),
+                        idle.integer("per_address", 0, MOST_CONNECTIONS, otherwise.perAddress()),
+                        idle.integer("per_customer", 0, MOST_CONNECTIONS, otherwise.perCustomer()),
                         newPerSecond,
-                        idle.whole(
+                        idle.integer(
                                 "new_at_once",
                                 0,
                                 MOST_A_SECOND,
                                 newPerSecond == 0
                                         ? otherwise.newAtOnce()
                                         : Math.max(1, newPerSecond / 10)),
-                        idle.span("startup_time", SHORTEST, LONGEST, otherwise.startupTime()),
-                        idle.span("message_time", SHORTEST, LONGEST, otherwise.messageTime()),
-                        idle.span("greeted_time", Span.ZERO, LONGEST, otherwise.greetedTime()),
-                        idle.span("served_time", Span.ZERO, LONGEST, otherwise.servedTime()),
-                        idle.span("crowded_time", Span.ZERO, LONGEST, otherwise.crowdedTime()),
-                        idle.part("crowded_part", otherwise.crowdedPart()),
+                        idle.duration("startup_time", SHORTEST, LONGEST, otherwise.startupTime()),
+                        idle.duration("message_time", SHORTEST, LONGEST, otherwise.messageTime()),
+                        idle.duration("greeted_time", Span.ZERO, LONGEST, otherwise.greetedTime()),
+                        idle.duration("served_time", Span.ZERO, LONGEST, otherwise.servedTime()),
+                        idle.duration("crowded_time", Span.ZERO, LONGEST, otherwise.crowdedTime()),
+                        idle.fraction("crowded_part", otherwise.crowdedPart()),
                         idle.bytes("memory", LEAST_BYTES, MOST_BYTES, otherwise.memory()),
                         idle.bytes("owed_each", 1, MOST_BYTES, otherwise.owedEach()),
                         idle.bytes("owed_all", 1, MOST_BYTES, otherwise.owedAll()),
-                        idle.span(
+                        idle.duration(
                                 "slow_reader_time", SHORTEST, LONGEST, otherwise.slowReaderTime()),
-                        idle.whole("open_rpcs", 1, MOST_CONNECTIONS, otherwise.openRpcs()),
-                        idle.span(
+                        idle.integer("open_rpcs", 1, MOST_CONNECTIONS, otherwise.openRpcs()),
+                        idle.duration(
                                 "turn_time",
                                 new Span(100),
                                 Span.ofMillis(100),
                                 otherwise.turnTime()),
-                        idle.span("crowd_time", Span.ofMillis(1), LONGEST, otherwise.crowdTime()),
-                        idle.span("active_time", Span.ZERO, LONGEST, otherwise.activeTime()),
-                        idle.span("keepalive", Span.ZERO, LONGEST, otherwise.keepalive()),
+                        idle.duration(
+                                "crowd_time", Span.ofMillis(1), LONGEST, otherwise.crowdTime()),
+                        idle.duration("active_time", Span.ZERO, LONGEST, otherwise.activeTime()),
+                        idle.duration("keepalive", Span.ZERO, LONGEST, otherwise.keepalive()),
                         idle.bytes("send_buffer", 0, 1 << 30, otherwise.sendBuffer()));
         idle.require(
                 limits.perAddress() <= connections,
@@ -83,7 +85,7 @@
                 newPerSecond > 0 || !idle.has("new_at_once"),
                 "says nothing without new_per_second",
                 "new_at_once");
-        idle.done();
+        idle.reportUnknownNames();
         return limits;
     }
 }
--- a/router/src/main/java/ironwind/start/Installation.java
+++ b/router/src/main/java/ironwind/start/Installation.java
@@ -42,13 +42,13 @@
 
     static Installation read(Block file, Limits otherwise, Diagnostics complaints) {
         BlockReader all = new BlockReader(file, complaints);
-        BlockReader log = all.only("log");
+        BlockReader log = all.block("log");
         Installation read =
                 new Installation(
-                        IdleBlock.read(all.only("idle"), otherwise),
-                        log.choice("form", LogForm.class, LogForm.PAIRS));
-        log.done();
-        all.done();
+                        IdleBlock.read(all.block("idle"), otherwise),
+                        log.constant("form", LogForm.class, LogForm.PAIRS));
+        log.reportUnknownNames();
+        all.reportUnknownNames();
         complaints.throwIfAny();
         return read;
     }
