--- a/cli/src/main/java/ironwind/cli/Check.java
+++ b/cli/src/main/java/ironwind/cli/Check.java
@@ -2,7 +2,7 @@
 
 import ironwind.config.OperatorSettings;
 import ironwind.config.RouterConfig;
-import ironwind.hcl.HclFault;
+import ironwind.hcl.HclException;
 import ironwind.idle.Limits;
 import ironwind.model.Span;
 import java.nio.file.Path;
@@ -40,8 +40,8 @@
         Limits limits = facts == null ? USUAL : RouterConfig.read(facts).clientLimits();
         try {
             OperatorSettings.read(file, limits);
-        } catch (HclFault fault) {
-            fault.lines().forEach(spec.commandLine().getErr()::println);
+        } catch (HclException fault) {
+            fault.messages().forEach(spec.commandLine().getErr()::println);
             return 1;
         }
         spec.commandLine().getOut().println(file + ": good");
--- a/router/src/main/java/ironwind/boot/Main.java
+++ b/router/src/main/java/ironwind/boot/Main.java
@@ -5,7 +5,7 @@
 import ironwind.config.OperatorSettings;
 import ironwind.config.OperatorSettings.LogFormat;
 import ironwind.config.RouterConfig;
-import ironwind.hcl.HclFault;
+import ironwind.hcl.HclException;
 import ironwind.net.Log;
 import java.io.FileDescriptor;
 import java.io.FileOutputStream;
@@ -70,7 +70,7 @@
         } catch (Exception e) {
             errors.println(
                     "ironwind: "
-                            + (e instanceof ConfigException || e instanceof HclFault
+                            + (e instanceof ConfigException || e instanceof HclException
                                     ? e.getMessage()
                                     : e));
             return EXIT_START_FAILED;
--- a/router/src/main/java/ironwind/config/LimitsReader.java
+++ b/router/src/main/java/ironwind/config/LimitsReader.java
@@ -1,6 +1,6 @@
 package ironwind.config;
 
-import ironwind.hcl.Section;
+import ironwind.hcl.BlockReader;
 import ironwind.idle.Limits;
 import ironwind.model.Span;
 
@@ -15,65 +15,68 @@
 
     private LimitsReader() {}
 
-    static Limits read(Section idle, Limits defaults) {
-        int connections = idle.whole("connections", 1, MAX_CONNECTIONS, defaults.maxConnections());
-        int newPerSecond = idle.whole("new_per_second", 0, MAX_PER_SECOND, defaults.acceptRate());
+    static Limits read(BlockReader idle, Limits defaults) {
+        int connections =
+                idle.integer("connections", 1, MAX_CONNECTIONS, defaults.maxConnections());
+        int newPerSecond = idle.integer("new_per_second", 0, MAX_PER_SECOND, defaults.acceptRate());
         Limits limits =
                 new Limits(
                         connections,
-                        idle.whole("per_address", 0, MAX_CONNECTIONS, defaults.maxPerAddress()),
-                        idle.whole("per_customer", 0, MAX_CONNECTIONS, defaults.maxPerCustomer()),
+                        idle.integer("per_address", 0, MAX_CONNECTIONS, defaults.maxPerAddress()),
+                        idle.integer("per_customer", 0, MAX_CONNECTIONS, defaults.maxPerCustomer()),
                         newPerSecond,
-                        idle.whole(
+                        idle.integer(
                                 "new_at_once",
                                 0,
                                 MAX_PER_SECOND,
                                 newPerSecond == 0
                                         ? defaults.acceptBurst()
                                         : Math.max(1, newPerSecond / 10)),
-                        idle.span(
+                        idle.duration(
                                 "startup_time",
                                 MIN_TIMEOUT,
                                 MAX_TIMEOUT,
                                 defaults.startupTimeout()),
-                        idle.span(
+                        idle.duration(
                                 "message_time",
                                 MIN_TIMEOUT,
                                 MAX_TIMEOUT,
                                 defaults.messageTimeout()),
-                        idle.span(
+                        idle.duration(
                                 "greeted_time",
                                 Span.ZERO,
                                 MAX_TIMEOUT,
                                 defaults.firstRequestTimeout()),
-                        idle.span("served_time", Span.ZERO, MAX_TIMEOUT, defaults.idleTimeout()),
-                        idle.span(
+                        idle.duration(
+                                "served_time", Span.ZERO, MAX_TIMEOUT, defaults.idleTimeout()),
+                        idle.duration(
                                 "crowded_time",
                                 Span.ZERO,
                                 MAX_TIMEOUT,
                                 defaults.crowdedIdleTimeout()),
-                        idle.part("crowded_part", defaults.crowdedFraction()),
+                        idle.fraction("crowded_part", defaults.crowdedFraction()),
                         idle.bytes("memory", MIN_MEMORY, MAX_BYTES, defaults.memoryBytes()),
                         idle.bytes("owed_each", 1, MAX_BYTES, defaults.maxUnsentPerClient()),
                         idle.bytes("owed_all", 1, MAX_BYTES, defaults.maxUnsentTotal()),
-                        idle.span(
+                        idle.duration(
                                 "slow_reader_time",
                                 MIN_TIMEOUT,
                                 MAX_TIMEOUT,
                                 defaults.slowReaderTimeout()),
-                        idle.whole("open_rpcs", 1, MAX_CONNECTIONS, defaults.openRpcThreshold()),
-                        idle.span(
+                        idle.integer("open_rpcs", 1, MAX_CONNECTIONS, defaults.openRpcThreshold()),
+                        idle.duration(
                                 "turn_time",
                                 new Span(100),
                                 Span.ofMillis(100),
                                 defaults.turnDuration()),
-                        idle.span(
+                        idle.duration(
                                 "crowd_time",
                                 Span.ofMillis(1),
                                 MAX_TIMEOUT,
                                 defaults.maxQueueTime()),
-                        idle.span("active_time", Span.ZERO, MAX_TIMEOUT, defaults.activeWindow()),
-                        idle.span("keepalive", Span.ZERO, MAX_TIMEOUT, defaults.keepalive()),
+                        idle.duration(
+                                "active_time", Span.ZERO, MAX_TIMEOUT, defaults.activeWindow()),
+                        idle.duration("keepalive", Span.ZERO, MAX_TIMEOUT, defaults.keepalive()),
                         idle.bytes("send_buffer", 0, 1 << 30, defaults.sendBufferBytes()));
         idle.require(
                 limits.maxPerAddress() <= connections,
@@ -106,7 +109,7 @@
                 newPerSecond > 0 || !idle.has("new_at_once"),
                 "has no effect without new_per_second",
                 "new_at_once");
-        idle.done();
+        idle.reportUnknownNames();
         return limits;
     }
 }
--- a/router/src/main/java/ironwind/config/OperatorSettings.java
+++ b/router/src/main/java/ironwind/config/OperatorSettings.java
@@ -1,9 +1,9 @@
 package ironwind.config;
 
 import ironwind.hcl.Block;
-import ironwind.hcl.Complaints;
+import ironwind.hcl.BlockReader;
+import ironwind.hcl.Diagnostics;
 import ironwind.hcl.HclReader;
-import ironwind.hcl.Section;
 import ironwind.idle.Limits;
 import java.nio.file.Path;
 
@@ -31,7 +31,7 @@
     /**
      * Reads the settings from the file, or returns the defaults if the file is null.
      *
-     * @throws ironwind.hcl.HclFault if the file has errors
+     * @throws ironwind.hcl.HclException if the file has errors
      */
     public static OperatorSettings readOrDefaults(RouterConfig config, Path file) {
         return file == null ? defaults(config) : read(file, config.clientLimits());
@@ -40,23 +40,23 @@
     /**
      * Reads and checks a whole file.
      *
-     * @throws ironwind.hcl.HclFault with all errors in the file, if it has any
+     * @throws ironwind.hcl.HclException with all errors in the file, if it has any
      */
     public static OperatorSettings read(Path file, Limits defaults) {
-        Complaints errors = new Complaints(file.toString());
+        Diagnostics errors = new Diagnostics(file.toString());
         Block root = HclReader.read(file, errors);
         return read(root, defaults, errors);
     }
 
-    static OperatorSettings read(Block root, Limits defaults, Complaints errors) {
-        Section all = new Section(root, errors);
-        Section log = all.only("log");
+    static OperatorSettings read(Block root, Limits defaults, Diagnostics errors) {
+        BlockReader all = new BlockReader(root, errors);
+        BlockReader log = all.block("log");
         OperatorSettings settings =
                 new OperatorSettings(
-                        LimitsReader.read(all.only("idle"), defaults),
-                        log.choice("form", LogFormat.class, LogFormat.PAIRS));
-        log.done();
-        all.done();
+                        LimitsReader.read(all.block("idle"), defaults),
+                        log.constant("form", LogFormat.class, LogFormat.PAIRS));
+        log.reportUnknownNames();
+        all.reportUnknownNames();
         errors.throwIfAny();
         return settings;
     }
--- a/router/src/main/java/ironwind/net/ClientConnection.java
+++ b/router/src/main/java/ironwind/net/ClientConnection.java
@@ -6,12 +6,12 @@
 import ironwind.model.Span;
 import ironwind.pg.ClientMessage;
 import ironwind.pg.Encoder;
-import ironwind.pg.Failure;
 import ironwind.pg.Frame;
-import ironwind.pg.Frames;
-import ironwind.pg.Pg;
-import ironwind.pg.PgFault;
+import ironwind.pg.FrameDecoder;
+import ironwind.pg.PgError;
+import ironwind.pg.PgException;
 import ironwind.pg.Statement;
+import ironwind.pg.WireFormat;
 import java.nio.channels.SocketChannel;
 import java.util.function.Function;
 
@@ -30,7 +30,7 @@
     private final Clients clients;
 
     /** What has come of a message that is not whole; null where none has begun. */
-    private Frames frames;
+    private FrameDecoder frames;
 
     /** Bytes lent for it. */
     private int lent;
@@ -97,7 +97,9 @@
     private void received(byte[] bytes) {
         if (bytes.length > 0 && closing != Ending.CLIENT_MALFORMED) {
             if (frames == null) {
-                frames = new Frames(!started, ClientMessage.TYPES, Pg.LARGEST_MESSAGE);
+                frames =
+                        new FrameDecoder(
+                                !started, ClientMessage.TYPES, WireFormat.MAX_MESSAGE_BYTES);
             }
             frames.add(bytes);
             proceed();
@@ -125,7 +127,7 @@
                 frame = next();
             }
             keep();
-        } catch (PgFault fault) {
+        } catch (PgException fault) {
             fail(fault);
         } finally {
             proceeding = false;
@@ -145,7 +147,7 @@
 
     /** What is left of the bytes that came is lent; where nothing is, nothing is held. */
     private void keep() {
-        int size = frames == null ? 0 : frames.held();
+        int size = frames == null ? 0 : frames.bufferCapacity();
         if (size == 0) {
             frames = null;
         }
@@ -153,7 +155,8 @@
             // Where whole commands wait behind unanswered ones they were taken, and are not to be
             // lost.
             if (!clients.lend(size - lent, hasEnough())) {
-                throw new PgFault(CloseReason.NO_MEMORY.sqlState, CloseReason.NO_MEMORY.message);
+                throw new PgException(
+                        CloseReason.NO_MEMORY.sqlState, CloseReason.NO_MEMORY.message);
             }
             lent = size;
         }
@@ -164,20 +167,22 @@
             command(query.sql());
         } else if (message instanceof ClientMessage.Startup) {
             started = true;
-            frames.started();
-            write(Encoder.welcome());
-        } else if (message instanceof ClientMessage.Encryption) {
-            write(Encoder.noEncryption());
-        } else if (message instanceof ClientMessage.Extended) {
+            frames.startupDone();
+            write(Encoder.startupResponse());
+        } else if (message instanceof ClientMessage.EncryptionRequest) {
+            write(Encoder.encryptionRejected());
+        } else if (message instanceof ClientMessage.ExtendedQuery) {
             if (!skipping) {
                 skipping = true;
                 refuse(
-                        new PgFault(PgFault.UNSUPPORTED, "only simple queries are spoken here"),
+                        new PgException(
+                                PgException.FEATURE_NOT_SUPPORTED,
+                                "only simple queries are spoken here"),
                         Encoder::error);
             }
         } else if (message instanceof ClientMessage.Sync) {
             skipping = false;
-            add(null, 0).answer(Encoder.ready());
+            add(null, 0).answer(Encoder.readyForQuery());
         } else {
             closed(Ending.CLIENT_LEFT);
         }
@@ -193,28 +198,28 @@
     private void command(String sql) {
         try {
             clients.command(this, sql);
-        } catch (PgFault fault) {
-            refuse(fault, Encoder::failure);
+        } catch (PgException fault) {
+            refuse(fault, Encoder::errorAndReady);
         }
     }
 
     // ---- what goes
 
     /** The error that is owed in place of an answer, in one of the encoder's forms. */
-    private void refuse(PgFault fault, Function<Failure, byte[]> form) {
+    private void refuse(PgException fault, Function<PgError, byte[]> form) {
         clients.malformed(fault);
-        add(null, 0).answer(form.apply(new Failure(fault.code, fault.getMessage(), null)));
+        add(null, 0).answer(form.apply(new PgError(fault.sqlState, fault.getMessage(), null)));
     }
 
     /** The connection ends in an error, after the answers that are owed before it. */
-    void fail(PgFault fault) {
-        endWith(() -> refuse(fault, Encoder::fatal));
+    void fail(PgException fault) {
+        endWith(() -> refuse(fault, Encoder::fatalError));
     }
 
     /** The same for a reason of ours; {@code comeBack} tells when another try makes sense. */
     void turnAway(CloseReason reason, Span comeBack) {
-        Failure failure = new Failure(reason.sqlState, reason.message, Timers.told(comeBack));
-        endWith(() -> add(null, 0).answer(Encoder.fatal(failure)));
+        PgError failure = new PgError(reason.sqlState, reason.message, Timers.told(comeBack));
+        endWith(() -> add(null, 0).answer(Encoder.fatalError(failure)));
     }
 
     private void endWith(Runnable error) {
--- a/router/src/main/java/ironwind/net/Ending.java
+++ b/router/src/main/java/ironwind/net/Ending.java
@@ -1,7 +1,7 @@
 package ironwind.net;
 
 import ironwind.model.Outcome;
-import ironwind.pg.Failure;
+import ironwind.pg.PgError;
 
 /** Every way in which a connection, or one use of it, can end. */
 public enum Ending {
@@ -56,10 +56,10 @@
     }
 
     /** How an answer that is an error ends the use of its connection. */
-    static Ending of(Failure failure) {
-        return switch (failure.code()) {
-            case Failure.MISPLACED_WRITE, Failure.TOO_FAR_BEHIND -> MISSED;
-            case Failure.TOO_MANY, Failure.NOT_NOW -> TURNED_AWAY;
+    static Ending of(PgError failure) {
+        return switch (failure.sqlState()) {
+            case PgError.READ_ONLY_SQL_TRANSACTION, PgError.SNAPSHOT_TOO_OLD -> MISSED;
+            case PgError.TOO_MANY_CONNECTIONS, PgError.CANNOT_CONNECT_NOW -> TURNED_AWAY;
             default -> FAILED;
         };
     }
--- a/router/src/main/java/ironwind/net/HostConnection.java
+++ b/router/src/main/java/ironwind/net/HostConnection.java
@@ -3,9 +3,9 @@
 import ironwind.model.Moment;
 import ironwind.pg.Encoder;
 import ironwind.pg.Frame;
-import ironwind.pg.Frames;
+import ironwind.pg.FrameDecoder;
 import ironwind.pg.HostMessage;
-import ironwind.pg.PgFault;
+import ironwind.pg.PgException;
 import java.io.IOException;
 import java.net.ConnectException;
 
@@ -16,7 +16,7 @@
 
     final String hostId;
     private final HostConnections pool;
-    private final Frames frames;
+    private final FrameDecoder frames;
     private LoopSocket socket;
     private boolean up;
     private boolean closed;
@@ -53,7 +53,7 @@
     HostConnection(String hostId, HostConnections pool, Use use) {
         this.hostId = hostId;
         this.pool = pool;
-        this.frames = new Frames(false, HostMessage.TYPES, pool.longestMessage);
+        this.frames = new FrameDecoder(false, HostMessage.TYPES, pool.longestMessage);
         this.use = use;
     }
 
@@ -139,14 +139,14 @@
             for (Frame frame = frames.next(); frame != null && !closed; frame = frames.next()) {
                 pendingLent = 0;
                 HostMessage message = HostMessage.decode(frame);
-                if (message instanceof HostMessage.Ready) {
+                if (message instanceof HostMessage.ReadyForQuery) {
                     ready();
                 } else {
                     word.hear(message);
                 }
             }
             reserve();
-            if (!closed && frames.midway() && !limited) {
+            if (!closed && frames.hasBufferedBytes() && !limited) {
                 limited = true;
                 pool.later(
                         () -> {
@@ -154,7 +154,7 @@
                             stuck();
                         });
             }
-        } catch (PgFault fault) {
+        } catch (PgException fault) {
             spoilt(fault);
         }
     }
@@ -164,7 +164,7 @@
      * or dropped.
      */
     private void reserve() {
-        int more = closed || !frames.midway() ? 0 : frames.wants() - pendingLent;
+        int more = closed || !frames.hasBufferedBytes() ? 0 : frames.expectedBytes() - pendingLent;
         if (more > 0 && needs == 0) {
             needs = more;
             if (pool.lend(this, more)) {
@@ -201,7 +201,7 @@
         }
     }
 
-    private void spoilt(PgFault fault) {
+    private void spoilt(PgException fault) {
         pool.garbled(this, fault);
         end(wasWritten() ? Ending.GARBLED : Ending.BROKE_UNWRITTEN);
     }
@@ -211,8 +211,10 @@
      * others wait.
      */
     private void stuck() {
-        if (!closed && frames.midway()) {
-            spoilt(new PgFault(PgFault.PROTOCOL, "a message stays without its end"));
+        if (!closed && frames.hasBufferedBytes()) {
+            spoilt(
+                    new PgException(
+                            PgException.PROTOCOL_VIOLATION, "a message stays without its end"));
         }
     }
 
@@ -220,8 +222,8 @@
         if (!up) {
             up = true;
             word = new HostWord();
-            if (frames.midway()) {
-                throw new PgFault(PgFault.PROTOCOL, "more than a welcome");
+            if (frames.hasBufferedBytes()) {
+                throw new PgException(PgException.PROTOCOL_VIOLATION, "more than a welcome");
             } else if (use == null) {
                 pool.idle(this);
             } else {
@@ -234,7 +236,7 @@
             asked = false;
             word = new HostWord();
             giveBack();
-            if (frames.midway() || !said.isWhole()) {
+            if (frames.hasBufferedBytes() || !said.isWhole()) {
                 close();
             } else {
                 pool.idle(this);
--- a/router/src/main/java/ironwind/net/HostConnections.java
+++ b/router/src/main/java/ironwind/net/HostConnections.java
@@ -8,7 +8,7 @@
 import ironwind.model.Moment;
 import ironwind.model.Span;
 import ironwind.net.Counters.Count;
-import ironwind.pg.PgFault;
+import ironwind.pg.PgException;
 import java.io.IOException;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -259,7 +259,7 @@
         timers.after(connectTime, action);
     }
 
-    void garbled(HostConnection connection, PgFault fault) {
+    void garbled(HostConnection connection, PgException fault) {
         log.warn("host_garbled", "host", connection.hostId, "what", fault.getMessage());
     }
 
--- a/router/src/main/java/ironwind/net/HostWord.java
+++ b/router/src/main/java/ironwind/net/HostWord.java
@@ -4,7 +4,7 @@
 import ironwind.model.Role;
 import ironwind.model.Span;
 import ironwind.pg.HostMessage;
-import ironwind.pg.PgFault;
+import ironwind.pg.PgException;
 import ironwind.pg.Row;
 import java.math.BigDecimal;
 import java.math.RoundingMode;
@@ -27,29 +27,30 @@
     private Ending failed;
     private final Map<String, String> parameters = new HashMap<>();
 
-    /** A {@link PgFault} tells what does not belong into one answer, or not at its place. */
+    /** A {@link PgException} tells what does not belong into one answer, or not at its place. */
     void hear(HostMessage message) {
-        if (message instanceof HostMessage.Parameter parameter) {
+        if (message instanceof HostMessage.ParameterStatus parameter) {
             parameters.put(parameter.name(), parameter.value());
             return;
-        } else if (message instanceof HostMessage.Skipped) {
+        } else if (message instanceof HostMessage.Ignored) {
             return;
         }
         boolean inPlace = failed == null && tag == null;
-        if (message instanceof HostMessage.Description part) {
+        if (message instanceof HostMessage.RowDescription part) {
             inPlace &= description == null;
             description = part.body();
-        } else if (message instanceof HostMessage.Data part) {
+        } else if (message instanceof HostMessage.DataRow part) {
             inPlace &= description != null && data == null;
             data = part.body();
-        } else if (message instanceof HostMessage.Complete complete) {
+        } else if (message instanceof HostMessage.CommandComplete complete) {
             inPlace &= data != null;
             tag = complete.tag();
-        } else if (message instanceof HostMessage.Failed error) {
-            failed = Ending.of(error.failure());
+        } else if (message instanceof HostMessage.ErrorResponse error) {
+            failed = Ending.of(error.error());
         }
         if (!inPlace) {
-            throw new PgFault(PgFault.PROTOCOL, "an answer's messages come out of their order");
+            throw new PgException(
+                    PgException.PROTOCOL_VIOLATION, "an answer's messages come out of their order");
         }
     }
 
--- a/router/src/main/java/ironwind/net/LogicTask.java
+++ b/router/src/main/java/ironwind/net/LogicTask.java
@@ -16,8 +16,8 @@
 import ironwind.model.Span;
 import ironwind.net.Counters.Count;
 import ironwind.pg.Encoder;
-import ironwind.pg.Failure;
-import ironwind.pg.PgFault;
+import ironwind.pg.PgError;
+import ironwind.pg.PgException;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
@@ -32,10 +32,13 @@
  * all that waits there at one time, settles once, and carries out what the module asks for.
  */
 final class LogicTask implements Outbound {
-    private static final Failure PUSHED_BACK =
-            new Failure(Failure.TOO_MANY, "pushed back: try again later", null);
-    private static final Failure ABORTED =
-            new Failure(Failure.OUTCOME_UNKNOWN, "aborted: it may or may not have run", null);
+    private static final PgError PUSHED_BACK =
+            new PgError(PgError.TOO_MANY_CONNECTIONS, "pushed back: try again later", null);
+    private static final PgError ABORTED =
+            new PgError(
+                    PgError.STATEMENT_COMPLETION_UNKNOWN,
+                    "aborted: it may or may not have run",
+                    null);
 
     private static final Moment FAR = new Moment(Long.MAX_VALUE / 4);
 
@@ -142,7 +145,7 @@
             counters.add(Count.FAULTS);
             log.error("fault", fault);
             if (concerned != null) {
-                answer(concerned, Count.ABORTED, Encoder.failure(ABORTED));
+                answer(concerned, Count.ABORTED, Encoder.errorAndReady(ABORTED));
             }
         }
     }
@@ -167,9 +170,9 @@
             log.error(
                     "unanswered",
                     "id",
-                    exchange.statement.facts().get("id"),
+                    exchange.statement.attributes().get("id"),
                     "method",
-                    exchange.statement.facts().get("c"),
+                    exchange.statement.attributes().get("c"),
                     "hosts",
                     hosts);
         }
@@ -195,10 +198,12 @@
     /** What cannot be taken: an id that is open already, or a group that no list has named. */
     void check(Asked asked) {
         if (openIds.containsKey(asked.id)) {
-            throw new PgFault(PgFault.SYNTAX, "the comment's id is that of another open request");
+            throw new PgException(
+                    PgException.SYNTAX_ERROR, "the comment's id is that of another open request");
         }
         if (logic.group(asked.group) == null) {
-            throw new PgFault(PgFault.SYNTAX, "the comment's cluster names nothing known");
+            throw new PgException(
+                    PgException.SYNTAX_ERROR, "the comment's cluster names nothing known");
         }
     }
 
@@ -339,7 +344,8 @@
         answer(
                 rpc,
                 Count.PUSHED_BACK,
-                new Failure(PUSHED_BACK.code(), PUSHED_BACK.message(), Timers.told(comeBackAfter)));
+                new PgError(
+                        PUSHED_BACK.sqlState(), PUSHED_BACK.message(), Timers.told(comeBackAfter)));
     }
 
     @Override
@@ -347,8 +353,8 @@
         answer(rpc, Count.ABORTED, ABORTED);
     }
 
-    private void answer(Rpc rpc, Count count, Failure failure) {
-        answer(exchanges.get(rpc), count, Encoder.failure(failure));
+    private void answer(Rpc rpc, Count count, PgError failure) {
+        answer(exchanges.get(rpc), count, Encoder.errorAndReady(failure));
         forget(rpc);
     }
 
@@ -361,7 +367,7 @@
     }
 
     private void freeId(Exchange exchange) {
-        openIds.remove(exchange.statement.facts().get("id"), exchange);
+        openIds.remove(exchange.statement.attributes().get("id"), exchange);
     }
 
     private void forget(Rpc rpc) {
--- a/router/src/test/java/ironwind/config/OperatorSettingsTest.java
+++ b/router/src/test/java/ironwind/config/OperatorSettingsTest.java
@@ -4,7 +4,7 @@
 import static org.assertj.core.api.Assertions.catchThrowableOfType;
 
 import ironwind.config.OperatorSettings.LogFormat;
-import ironwind.hcl.HclFault;
+import ironwind.hcl.HclException;
 import ironwind.idle.Limits;
 import ironwind.model.Span;
 import java.io.IOException;
@@ -85,11 +85,12 @@
                 "new_at_once = 5 | 2: idle.new_at_once: has no effect without new_per_second"
             })
     void inconsistentSettingsAreReported(String text, String message) {
-        HclFault fault =
+        HclException fault =
                 catchThrowableOfType(
-                        HclFault.class, () -> read("idle {\n" + text.replace(';', '\n') + "\n}"));
-        assertThat(fault.lines()).hasSize(1);
-        assertThat(fault.lines().get(0)).contains("i.hcl:" + message);
+                        HclException.class,
+                        () -> read("idle {\n" + text.replace(';', '\n') + "\n}"));
+        assertThat(fault.messages()).hasSize(1);
+        assertThat(fault.messages().get(0)).contains("i.hcl:" + message);
     }
 
     /** Guards against default limits that the consistency checks would reject. */
--- a/standin/src/main/java/ironwind/standin/StandInHost.java
+++ b/standin/src/main/java/ironwind/standin/StandInHost.java
@@ -3,10 +3,10 @@
 import ironwind.pg.ClientMessage;
 import ironwind.pg.Encoder;
 import ironwind.pg.Frame;
-import ironwind.pg.Frames;
-import ironwind.pg.Pg;
+import ironwind.pg.FrameDecoder;
 import ironwind.pg.Row;
 import ironwind.pg.Statement;
+import ironwind.pg.WireFormat;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.HashMap;
@@ -51,19 +51,20 @@
 
     private synchronized void record(Statement statement) {
         if (records) {
-            ran.merge(statement.facts().getOrDefault("id", ""), 1, Integer::sum);
+            ran.merge(statement.attributes().getOrDefault("id", ""), 1, Integer::sum);
         }
     }
 
     private static int size(Statement statement) {
-        String key = statement.key();
+        String key = statement.rowKey();
         return key != null && key.startsWith(BIG)
                 ? Integer.parseInt(key.substring(BIG.length()))
                 : USUAL_BYTES;
     }
 
     private final class Connection implements Loop.Handler {
-        private final Frames frames = new Frames(true, ClientMessage.TYPES, Pg.LARGEST_MESSAGE);
+        private final FrameDecoder frames =
+                new FrameDecoder(true, ClientMessage.TYPES, WireFormat.MAX_MESSAGE_BYTES);
 
         @Override
         public void received(Link link, byte[] bytes) {
@@ -71,8 +72,8 @@
             for (Frame frame = frames.next(); frame != null; frame = frames.next()) {
                 ClientMessage message = ClientMessage.decode(frame);
                 if (message instanceof ClientMessage.Startup) {
-                    frames.started();
-                    link.write(Encoder.welcome());
+                    frames.startupDone();
+                    link.write(Encoder.startupResponse());
                 } else if (message instanceof ClientMessage.Query query) {
                     Statement statement = Statement.parse(query.sql());
                     link.loop().at(System.nanoTime() + workNanos, () -> answer(link, statement));
@@ -85,7 +86,7 @@
 
         private void answer(Link link, Statement statement) {
             if (statement.text().isEmpty()) {
-                link.write(Encoder.emptyQuery());
+                link.write(Encoder.emptyQueryResponse());
                 return;
             }
             record(statement);
