--- a/router/src/test/java/ironwind/net/RouterTest.java
+++ b/router/src/test/java/ironwind/net/RouterTest.java
@@ -653,7 +653,7 @@
     void anRpcThatADefectConcernsIsStillAnswered(String defect, String told) throws Exception {
         InvocationHandler module =
                 (proxy, method, arguments) -> {
-                    if (method.getName().equals("arrived") && defect.equals("throws")) {
+                    if (method.getName().equals("onRpcArrived") && defect.equals("throws")) {
                         throw new UnsupportedOperationException();
                     }
                     return method.getName().equals("group") ? new Group(2) : null;
@@ -694,7 +694,7 @@
                                                     getClass().getClassLoader(),
                                                     new Class<?>[] {Inbound.class},
                                                     (proxy, method, arguments) -> {
-                                                        if (method.getName().equals("arrived")
+                                                        if (method.getName().equals("onRpcArrived")
                                                                 && stands.getCount() > 0) {
                                                             stands.countDown();
                                                             Thread.sleep(600);
