--- a/router/src/main/java/ironwind/Logic.java
+++ b/router/src/main/java/ironwind/Logic.java
@@ -7,179 +7,233 @@
 import java.util.function.BiConsumer;
 
 /**
- * All decisions of one router. A front (the wire's adapter, or a real router) makes one instance
- * per router, brings every event of a batch through {@link Inbound}, then calls {@link #onBatchEnd};
- * the module answers by {@link Outbound}. Both stand in {@code ironwind.model}, with the state that
- * only this class writes. It reads no clock but the batch's, draws chance from its seed alone, and
- * is not safe for use by several threads.
+ * The routing decisions of one router: whether, when and to which host an RPC is sent, and when it
+ * is pushed back or aborted. The caller, which is the simulator's adapter or the real router,
+ * creates one instance per router, reports every event of a batch through {@link Inbound} and ends
+ * the batch with {@link #onBatchEnd}; the decisions are returned through {@link Outbound}.
  *
- * <p>The ordinary path is the log-position gate of docs/design.md: see {@link #choose}. Whatever is
- * proposed, {@link #gate} is the one place that a send passes. What happens to an RPC stands in
- * {@link #TABLE}.
+ * <p>The only time that it uses is that of the batch, and its only random source is seeded. It is
+ * not thread-safe.
+ *
+ * <p>Hosts are chosen by the log-position gate of docs/design.md, see {@link #chooseHost}. Every
+ * send passes {@link #gate}. {@link #TRANSITIONS} is the state machine of an RPC.
  */
 public final class Logic implements Inbound {
-    /** The design's brief wait for a replica to pass, before the primary is taken. */
-    private static final Span BRIEF_WAIT = Span.ofMillis(20);
+    /** How long a read waits for an eligible replica before it may go to the primary. */
+    private static final Span PRIMARY_FALLBACK_DELAY = Span.ofMillis(20);
 
-    /** How often held RPCs and hosts are looked at when nothing else happens. */
-    private static final Span LOOK_EVERY = Span.ofMillis(10);
+    /** How often pending RPCs and busy hosts are checked when no event requires it earlier. */
+    private static final Span CHECK_INTERVAL = Span.ofMillis(10);
 
     /**
-     * A host is silent when its call-outs have waited so many mean answer times without a word,
-     * added up.
+     * A host counts as silent once the waiting times of its unanswered call-outs add up to this
+     * multiple of the mean response time.
      */
-    private static final double SILENCE = 7;
+    private static final double SILENCE_FACTOR = 7;
 
-    private static final Span LEAST_SILENCE = Span.ofMillis(150);
+    /** Shortest time without an answer after which a host counts as silent. */
+    private static final Span MIN_SILENCE = Span.ofMillis(150);
 
-    /** As many call-outs count for silence at most; more may be queueing at the host. */
-    private static final int SILENCE_VOICES = 4;
+    /** Most call-outs whose waiting times are added up; more may be queued at the host. */
+    private static final int MAX_SILENCE_SAMPLES = 4;
 
     /**
-     * A host that turns work away or errs rests, twice as long each time in a row: it answers badly
-     * but fast, and so looks idle. Harm: a full primary is used a little late.
+     * How long a host that rejects RPCs or answers with errors gets none, doubled with each
+     * ejection in a row: it responds fast, so it would look idle and attract more. Cost: a primary
+     * that was only overloaded is used again slightly late.
      */
-    private static final Span REST = Span.ofMillis(20);
+    private static final Span BASE_EJECTION_TIME = Span.ofMillis(20);
+
+    private static final int MAX_EJECTION_DOUBLINGS = 6;
+
+    /**
+     * A host is ejected when the probability that its consecutive errors are caused by the RPCs
+     * themselves is lower than this.
+     */
+    private static final double MIN_ERROR_STREAK_PROBABILITY = 0.01;
+
+    /** Multiple of the mean response time after which a trial at a suspect host has failed. */
+    private static final double TRIAL_TIMEOUT_FACTOR = 3;
+
+    /** Time between two trials at a suspect host, doubled with each failed trial. */
+    private static final Span TRIAL_INTERVAL = Span.ofMillis(400);
 
-    private static final int REST_DOUBLINGS = 6;
+    private static final int MAX_TRIAL_DOUBLINGS = 3;
 
-    /** A row of errors no likelier than this to be the RPCs' own counts against the host. */
-    private static final double ERRORS_BY_CHANCE = 0.01;
+    /** A connection attempt that fails faster than this was refused immediately. */
+    private static final Span IMMEDIATE_REFUSAL_TIME = Span.ofMillis(20);
 
-    private static final double TRIAL_PATIENCE = 3;
-    private static final Span TRIAL_EVERY = Span.ofMillis(400);
-    private static final int TRIAL_DOUBLINGS = 3;
+    /** How long connections count as scarce after a running host has immediately refused one. */
+    private static final Span CONNECTION_SCARCITY_TIME = Span.ofMillis(10_000);
 
     /**
-     * Connections are taken to be scarce for so long after a host that runs has refused one at
-     * once.
+     * Shortest time between two health probes of a host, and how long a primary counts as missing
+     * after an RPC has found none.
      */
-    private static final Span AT_ONCE = Span.ofMillis(20);
+    private static final Span HEALTH_PROBE_INTERVAL = Span.ofMillis(250);
 
-    private static final Span SCARCE_HOLDS = Span.ofMillis(10_000);
-    private static final Span NEWS_EVERY = Span.ofMillis(250);
-    private static final Span PROBE_EVERY = Span.ofMillis(50);
+    /** Time between two rounds in which probes are sent. */
+    private static final Span PROBE_ROUND_INTERVAL = Span.ofMillis(50);
 
-    /** A word as replica is taken as still true in the search for a primary for so long. */
-    private static final Span ROLE_HOLDS = Span.ofMillis(400);
+    /** How long a host that reported to be a replica is left out of the search for a primary. */
+    private static final Span ROLE_REPORT_TTL = Span.ofMillis(400);
 
-    /** How long a miss, and a reported position, tell that a replica is behind. */
-    private static final Span MISS_HOLDS = Span.ofMillis(400);
+    /** How long the rejection of a read shows that a replica is behind. */
+    private static final Span BEHIND_TTL = Span.ofMillis(400);
 
-    private static final Span REPORT_HOLDS = Span.ofMillis(3_000);
-
-    /** A list naming a host that has called itself a replica since is late. */
-    private static final Span LIST_LATENESS = Span.ofMillis(10_000);
+    /** How long a reported position shows how far a replica is behind. */
+    private static final Span POSITION_REPORT_TTL = Span.ofMillis(3_000);
 
     /**
-     * Parts of the result that probes may cost: for positions, and for news of what is silent or
-     * missing.
+     * Discovery may be late by this much: an update that names a primary is ignored if the host has
+     * reported within this time that it is a replica.
      */
-    private static final double POSITION_SPEND = 0.002;
+    private static final Span MAX_DISCOVERY_DELAY = Span.ofMillis(10_000);
+
+    /** Fraction of the RPCs' value that may be spent on probes for log positions. */
+    private static final double POSITION_PROBE_SPENDING = 0.002;
+
+    /** Fraction that may be spent on probes of suspect hosts and for a missing primary. */
+    private static final double HEALTH_PROBE_SPENDING = 0.005;
+
+    private static final double MAX_PROBES_PER_RPC = 0.5;
 
-    private static final double NEWS_SPEND = 0.005;
-    private static final double MOST_PROBE_SHARE = 0.5;
-    private static final double BURST = 10;
+    /** Most probes that a budget can accumulate. */
+    private static final double PROBE_BURST = 10;
 
     /**
-     * In-flight limits: how they start, move and end, told by answer times as parts of the soft
-     * deadline.
+     * Initial concurrency limit of a host. Limits are adapted to the ratio of response times to
+     * soft deadlines.
      */
-    private static final double FIRST_LIMIT = 8;
+    private static final double INITIAL_LIMIT = 8;
+
+    private static final double MAX_LIMIT = 256;
+    private static final double MIN_LIMIT = 1;
+
+    /** Lower bound of a pool's limit: call-outs per host, of all routers together. */
+    private static final double MIN_POOL_LIMIT_PER_HOST = 5;
+
+    /** Initial limit of a pool: call-outs per host, of all routers together. */
+    private static final double INITIAL_POOL_LIMIT_PER_HOST = 16;
 
-    private static final double MOST_LIMIT = 256;
-    private static final double LEAST_LIMIT = 1;
+    /** Latency ratio above which a limit is decreased. */
+    private static final double HIGH_LATENCY_RATIO = 0.42;
 
-    /** A pool never shrinks below so many call-outs a host, of all routers together. */
-    private static final double LEAST_A_HOST = 5;
+    /** Latency ratio below which a limit that is used up is increased. */
+    private static final double LOW_LATENCY_RATIO = 0.32;
 
-    private static final double FIRST_A_HOST = 16;
-    private static final double STRAINED = 0.42;
-    private static final double EASY = 0.32;
-    private static final double LIMIT_CUT = 0.85;
-    private static final double LIMIT_STEP = 0.5;
-    private static final double LIMIT_GROWTH = 0.08;
-    private static final Span LIMIT_REST = Span.ofMillis(100);
+    private static final double LIMIT_DECREASE_FACTOR = 0.85;
+    private static final double LIMIT_ADDITIVE_INCREASE = 0.5;
+    private static final double LIMIT_RELATIVE_INCREASE = 0.08;
+
+    /** Shortest time between two changes of a limit. */
+    private static final Span LIMIT_CHANGE_INTERVAL = Span.ofMillis(100);
 
     /**
-     * Reads may take so much of the primary's room; the rest is for what only the primary takes.
+     * Share of the primary's limit that is open to reads which a replica could serve; the rest is
+     * reserved for what only the primary serves.
      */
-    private static final double READS_OF_PRIMARY = 0.6;
+    private static final double PRIMARY_READ_SHARE = 0.6;
+
+    /** Time since the previous sample of an average after which a new one would have weight 1. */
+    private static final Span FULL_WEIGHT_TIME = Span.ofMillis(2_000);
+
+    /** Time constant by which the primary's latency ratio loses weight without new samples. */
+    private static final Span LATENCY_RATIO_DECAY = Span.ofMillis(60_000);
+
+    private static final double MAX_SAMPLE_WEIGHT = 0.6;
 
-    private static final Span SAMPLES_OVER = Span.ofMillis(2_000);
-    private static final Span STRAIN_FADES = Span.ofMillis(60_000);
-    private static final double MOST_WEIGHT = 0.6;
+    /** Minimum weight of a sample in averages over many hosts. */
     private static final double SMOOTHING = 0.08;
+
+    /** Minimum weight of a sample in averages of a host or zone. */
     private static final double HOST_SMOOTHING = 0.16;
-    private static final Span HOST_FADES = Span.ofMillis(10_000);
 
-    /** How long an over-share RPC is held, in soft deadlines, before it is shed. */
-    private static final double SHED_OVER_SHARE = 0.15;
+    /** Time constant by which a host's response time loses weight to its zone's. */
+    private static final Span RESPONSE_TIME_DECAY = Span.ofMillis(10_000);
 
-    /**
-     * An RPC is given up when less than a mean answer time is left of its use, but not before this
-     * part of the soft deadline: a method that only slow hosts serve would never be timed again.
-     */
-    private static final double LEAST_USE = 0.5;
+    /** How long an RPC over quota stays pending before it is shed, in soft deadlines. */
+    private static final double OVER_QUOTA_WAIT = 0.15;
 
     /**
-     * An RPC of which less is left when late is not held past its soft deadline: failing late costs
-     * more.
+     * An RPC is given up when less than the mean response time is left until its soft deadline. At
+     * most this fraction of the soft deadline is kept free for that: otherwise a method that only
+     * slow hosts serve would never be sent again, and its response time never be measured again.
      */
-    private static final double LATE_HOLD = 0.4;
+    private static final double MAX_RESPONSE_TIME_SHARE = 0.5;
 
     /**
-     * What no host has seen is given back before so much of the client's time is over: it may try
-     * again.
+     * An RPC whose late utility is a smaller fraction of its utility does not stay pending past its
+     * soft deadline, because a late failure costs more than an early one.
      */
-    private static final double UNSEEN_HOLD = 0.5;
+    private static final double MIN_LATE_UTILITY_SHARE = 0.4;
 
     /**
-     * Cold budgets: the part of the allowance used, and all routers' sends always allowed in a
-     * window.
+     * An RPC that was never sent is pushed back before this fraction of the client's time is over,
+     * so that the client can retry.
      */
-    private static final double COLD_MARGIN = 0.85;
+    private static final double UNSENT_WAIT_SHARE = 0.5;
 
-    private static final double COLD_FLOOR = 3;
-    private static final Span RATE_OVER = Span.ofMillis(8_000);
-    private static final Span WRITE_BACKOFF = Span.ofMillis(200);
+    /** Fraction that is used of the rate allowed to a cold host. */
+    private static final double COLD_BUDGET_MARGIN = 0.85;
+
+    /** Sends to a cold host that all routers together may always make in a window. */
+    private static final double MIN_COLD_SENDS = 3;
+
+    /** Time constant of the rate of RPCs that a host serves. */
+    private static final Span RATE_WINDOW = Span.ofMillis(8_000);
+
+    /** Longest retry delay that is told for RPCs that are not idempotent. */
+    private static final Span MAX_WRITE_RETRY_AFTER = Span.ofMillis(200);
+
+    /** Hosts round the position of a commit up to this unit. */
     private static final Span COMMIT_ROUNDING = Span.ofMillis(1);
-    private static final double FIRST_MEAN_US = 150_000;
+
+    private static final double INITIAL_RESPONSE_TIME_US = 150_000;
 
     /**
-     * A customer may use so many RPCs of its share at once: a small router's is below one a second.
+     * Lower bound of the burst of a customer's quota in RPCs: on a router with little traffic, the
+     * quota per second is below 1.
      */
-    private static final double LEAST_SHARE = 5;
+    private static final double MIN_QUOTA_BURST = 5;
 
-    /** What can happen to an RPC. */
-    private enum Input {
+    /** Events in the life cycle of an RPC. */
+    private enum Event {
         ARRIVED,
-        LOOK,
+        /** A periodic check, or one after an event that may have made a host eligible. */
+        CHECK,
         SENT,
         OK,
-        UNRUN,
-        UNSURE,
-        HOPELESS,
-        LEFT
-    }
-
-    private record Row(State state, Input input, State next, BiConsumer<Logic, Rpc> effect) {}
-
-    private static final Row[] TABLE = {
-        new Row(State.PENDING, Input.LOOK, State.PENDING, Logic::place),
-        new Row(State.PENDING, Input.ARRIVED, State.PENDING, Logic::admit),
-        new Row(State.PENDING, Input.SENT, State.IN_FLIGHT, (logic, rpc) -> {}),
-        new Row(State.PENDING, Input.HOPELESS, State.DONE, Logic::answerUnserved),
-        new Row(State.PENDING, Input.LEFT, State.DONE, Logic::finish),
-        new Row(State.IN_FLIGHT, Input.SENT, State.HEDGED, (logic, rpc) -> {}),
-        new Row(State.IN_FLIGHT, Input.OK, State.DONE, Logic::finish),
-        new Row(State.IN_FLIGHT, Input.UNRUN, State.PENDING, Logic::hold),
-        new Row(State.IN_FLIGHT, Input.UNSURE, State.PENDING, Logic::holdIfRepeatable),
-        new Row(State.IN_FLIGHT, Input.LEFT, State.DONE, Logic::finish),
-        new Row(State.HEDGED, Input.OK, State.DONE, Logic::finish),
-        new Row(State.HEDGED, Input.UNRUN, State.IN_FLIGHT, (logic, rpc) -> {}),
-        new Row(State.HEDGED, Input.UNSURE, State.IN_FLIGHT, (logic, rpc) -> {}),
-        new Row(State.HEDGED, Input.LEFT, State.DONE, Logic::finish),
+        /** A call-out failed, and provably did not run. */
+        NOT_RUN,
+        /** A call-out failed, but may have run. */
+        MAY_HAVE_RUN,
+        /** No further call-out is possible or worthwhile. */
+        UNSERVABLE,
+        /** The final answer has already been given, or the client has left. */
+        CLOSED
+    }
+
+    /** On an event in a state, the state that follows and the action that is then run. */
+    private record Transition(State from, Event event, State to, BiConsumer<Logic, Rpc> action) {}
+
+    /** The state machine of an RPC; events without a transition are ignored. */
+    private static final Transition[] TRANSITIONS = {
+        new Transition(State.PENDING, Event.CHECK, State.PENDING, Logic::sendOrGiveUp),
+        new Transition(State.PENDING, Event.ARRIVED, State.PENDING, Logic::admit),
+        new Transition(State.PENDING, Event.SENT, State.IN_FLIGHT, (logic, rpc) -> {}),
+        new Transition(State.PENDING, Event.UNSERVABLE, State.DONE, Logic::pushBackOrAbort),
+        new Transition(State.PENDING, Event.CLOSED, State.DONE, Logic::cancelInFlight),
+        new Transition(State.IN_FLIGHT, Event.SENT, State.HEDGED, (logic, rpc) -> {}),
+        new Transition(State.IN_FLIGHT, Event.OK, State.DONE, Logic::cancelInFlight),
+        new Transition(State.IN_FLIGHT, Event.NOT_RUN, State.PENDING, Logic::enqueue),
+        new Transition(
+                State.IN_FLIGHT, Event.MAY_HAVE_RUN, State.PENDING, Logic::enqueueIfRetryable),
+        new Transition(State.IN_FLIGHT, Event.CLOSED, State.DONE, Logic::cancelInFlight),
+        new Transition(State.HEDGED, Event.OK, State.DONE, Logic::cancelInFlight),
+        new Transition(State.HEDGED, Event.NOT_RUN, State.IN_FLIGHT, (logic, rpc) -> {}),
+        new Transition(State.HEDGED, Event.MAY_HAVE_RUN, State.IN_FLIGHT, (logic, rpc) -> {}),
+        new Transition(State.HEDGED, Event.CLOSED, State.DONE, Logic::cancelInFlight),
     };
 
     private final Deployment deployment;
@@ -187,54 +241,79 @@
     private final Outbound outbound;
     private final Map<String, Host> hosts = new LinkedHashMap<>();
     private final Map<Integer, Group> groups = new TreeMap<>();
-    private final Map<Integer, MovingAverage> zones = new TreeMap<>();
+    private final Map<Integer, MovingAverage> zoneResponseTimes = new TreeMap<>();
 
-    /** By kind of host; null until one is asked for after a look. */
+    /** Cache of {@link #warmRate} by kind of host; null until first used after a check. */
     private Map<Integer, Double> warmRates;
 
-    private final List<Rpc> held = new ArrayList<>();
+    /** RPCs without a call-out in flight. */
+    private final List<Rpc> pending = new ArrayList<>();
+
+    /** Hosts with call-outs in flight; a router with little traffic has few. */
+    private final List<Host> busyHosts = new ArrayList<>();
+
+    /** The last commit by session, until all members of its group have applied it. */
+    private final Map<String, Commit> sessionCommits = new LinkedHashMap<>();
 
-    /** Hosts that hold call-outs of ours: most hosts hold none of a small router's. */
-    private final List<Host> working = new ArrayList<>();
+    /**
+     * Age of a known position from which a replica is probed: half the smallest staleness bound.
+     */
+    private final Span positionProbeAge;
+
+    /** Mean response times by method, in microseconds. */
+    private final double[] responseTimeUs;
+
+    /**
+     * Mean response times by method while the pool's latency ratio was low, in microseconds: an
+     * estimate of the work without queueing.
+     */
+    private final double[] unloadedResponseTimeUs;
+
+    /** This router's share of the quotas, by customer. */
+    private final List<TokenBucket> quotas = new ArrayList<>();
 
-    private final Map<String, Commit> commits = new LinkedHashMap<>();
-    private final Span halfBound;
-    private final double[] meanUs;
+    private double overallResponseTimeUs = INITIAL_RESPONSE_TIME_US;
 
-    /** Mean answer times where nothing strained: the work itself, as near as it can be told. */
-    private final double[] easyUs;
+    /** Smoothed share of errors among all answers. */
+    private double errorRate;
 
-    private final List<TokenBucket> shares = new ArrayList<>();
-    private double allMeanUs = FIRST_MEAN_US;
-    private double errorShare;
-    private final TokenBucket positionProbes = new TokenBucket(0);
-    private final TokenBucket newsProbes = new TokenBucket(BURST);
+    private final TokenBucket positionProbeBudget = new TokenBucket(0);
+    private final TokenBucket healthProbeBudget = new TokenBucket(PROBE_BURST);
     private Moment now = Moment.NEVER;
-    private Moment started = Moment.NEVER;
-    private Moment bucketsFilled = Moment.NEVER;
-    private Moment nextLook = Moment.NEVER;
-    private Moment nextProbes = Moment.NEVER;
-    private Moment wakeAsked = Moment.NEVER;
-    private Moment scarceUntil = Moment.NEVER;
-    private boolean stirred;
+    private Moment startedAt = Moment.NEVER;
+    private Moment bucketsRefilledAt = Moment.NEVER;
+    private Moment nextCheckAt = Moment.NEVER;
+    private Moment nextProbeRoundAt = Moment.NEVER;
+    private Moment wakeRequestedFor = Moment.NEVER;
+    private Moment connectionsScarceUntil = Moment.NEVER;
 
+    /** Whether an event since the last check may have made a pending RPC servable. */
+    private boolean checkNeeded;
+
+    /** The position of a session's last commit. */
     private record Commit(Group group, Moment position) {}
 
+    /**
+     * Creates the logic of one router.
+     *
+     * @param seed seed of all random choices
+     * @param outbound receives the decisions, also during the calls that report events
+     */
     public Logic(Deployment deployment, long seed, Outbound outbound) {
         this.deployment = deployment;
         this.random = new SplittableRandom(seed);
         this.outbound = outbound;
-        this.meanUs = new double[deployment.methods().size()];
-        Arrays.fill(meanUs, FIRST_MEAN_US);
-        this.easyUs = meanUs.clone();
+        this.responseTimeUs = new double[deployment.methods().size()];
+        Arrays.fill(responseTimeUs, INITIAL_RESPONSE_TIME_US);
+        this.unloadedResponseTimeUs = responseTimeUs.clone();
         for (Customer customer : deployment.customers()) {
-            shares.add(
+            quotas.add(
                     new TokenBucket(
                             Math.max(
-                                    LEAST_SHARE,
+                                    MIN_QUOTA_BURST,
                                     customer.quotaPerSecond() / deployment.routerCount())));
         }
-        this.halfBound =
+        this.positionProbeAge =
                 deployment.methods().stream()
                         .filter(m -> m.consistency() == Consistency.BOUNDED)
                         .map(Method::maxStaleness)
@@ -243,101 +322,104 @@
                         .times(0.5);
     }
 
-    // ---- the list
+    // ---- discovery
 
     @Override
     public void onDiscoveryUpdate(Moment time, boolean complete, List<HostEntry> entries) {
         now = time;
-        started = started.us() == Moment.NEVER.us() ? now : started;
-        stirred = true;
+        startedAt = startedAt.us() == Moment.NEVER.us() ? now : startedAt;
+        checkNeeded = true;
         Set<Host> absent = complete ? new LinkedHashSet<>(hosts.values()) : new LinkedHashSet<>();
         for (HostEntry entry : entries) {
             Host host = hosts.computeIfAbsent(entry.id(), Host::new);
             absent.remove(host);
             if (host.group == null) {
-                host.concurrency.limit = FIRST_LIMIT;
+                host.concurrency.limit = INITIAL_LIMIT;
                 host.group = groups.computeIfAbsent(entry.group(), Group::new);
                 host.group.members.add(host);
                 host.group.members.sort(Comparator.comparing(h -> h.id));
-                host.group.replicaPool.limit = firstOf(host.group.members.size());
+                host.group.replicaPool.limit = initialPoolLimit(host.group.members.size());
             }
             host.zoneResponseTimeUs =
-                    zones.computeIfAbsent(entry.zone(), zone -> new MovingAverage(allMeanUs));
+                    zoneResponseTimes.computeIfAbsent(
+                            entry.zone(), zone -> new MovingAverage(overallResponseTimeUs));
             host.kind = entry.kind();
             host.weight = entry.weight() > 0 ? entry.weight() : 1;
-            relist(host, entry.discoveryState());
+            updateDiscoveryState(host, entry.discoveryState());
             if (entry.startedAt().after(host.startedAt)) {
-                restarted(host, entry.startedAt());
+                hostRestarted(host, entry.startedAt());
             }
-            listedRole(host, entry.primary());
+            applyListedRole(host, entry.primary());
         }
-        absent.forEach(host -> relist(host, Host.DiscoveryState.GONE));
-        hosts.values().removeIf(this::forgets);
+        absent.forEach(host -> updateDiscoveryState(host, Host.DiscoveryState.GONE));
+        hosts.values().removeIf(this::removeIfGone);
     }
 
     /**
-     * Guards against lists that name new hosts without end: what is gone, and owes us nothing, is
-     * let go.
+     * Removes a host that is gone and has no call-outs in flight, and returns whether it did.
+     * Guards against unbounded growth when discovery keeps naming new hosts.
      */
-    private boolean forgets(Host host) {
-        boolean goes =
+    private boolean removeIfGone(Host host) {
+        boolean unavailable =
                 host.discoveryState == Host.DiscoveryState.GONE
-                        && (host.suspect || !sendable(host));
-        return goes && host.inFlight.isEmpty() && host.group.members.remove(host);
+                        && (host.suspect || !acceptsSends(host));
+        return unavailable && host.inFlight.isEmpty() && host.group.members.remove(host);
     }
 
-    private void relist(Host host, Host.DiscoveryState listing) {
-        host.discoveryState = listing;
+    private void updateDiscoveryState(Host host, Host.DiscoveryState state) {
+        host.discoveryState = state;
         host.seenDraining =
-                listing == Host.DiscoveryState.DRAINING
-                        || host.seenDraining && listing != Host.DiscoveryState.READY;
+                state == Host.DiscoveryState.DRAINING
+                        || host.seenDraining && state != Host.DiscoveryState.READY;
     }
 
-    private void restarted(Host host, Moment startedAt) {
+    private void hostRestarted(Host host, Moment startedAt) {
         host.startedAt = startedAt;
         host.coldPhase = random.nextDouble();
-        host.concurrency.limit = FIRST_LIMIT / 2;
+        host.concurrency.limit = INITIAL_LIMIT / 2;
         if (host.suspect && startedAt.after(host.suspectSince)) {
-            trust(host);
+            clearSuspicion(host);
         }
     }
 
     /**
-     * A late list must not overrule an answer: only a change counts, and only with nothing better
-     * known.
+     * Applies the role from discovery. Discovery may lag behind the hosts' answers, so only a
+     * change is applied, and only if no usable primary is known.
      */
-    private void listedRole(Host host, boolean primary) {
+    private void applyListedRole(Host host, boolean primary) {
         boolean changed = primary && !host.listedPrimary;
         host.listedPrimary = primary;
         Group group = host.group;
-        boolean open = group.primary == null || group.primary.suspect || !sendable(group.primary);
-        boolean denied =
+        boolean noUsablePrimary =
+                group.primary == null || group.primary.suspect || !acceptsSends(group.primary);
+        boolean recentlyReplica =
                 host.reportedReplica
-                        && now.since(host.lastUsefulAnswerAt).shorterThan(LIST_LATENESS);
-        if (changed && open && !denied) {
-            lead(host, group.primaryReportedAt);
+                        && now.since(host.lastUsefulAnswerAt).shorterThan(MAX_DISCOVERY_DELAY);
+        if (changed && noUsablePrimary && !recentlyReplica) {
+            setPrimary(host, group.primaryReportedAt);
         }
     }
 
-    // ---- what answers prove
+    // ---- answers
 
-    private void lead(Host host, Moment spoken) {
+    private void setPrimary(Host host, Moment reportedAt) {
         Group group = host.group;
         if (group.primary != host) {
-            // What the last primary was strained by is not the new one's doing.
-            stirred = true;
-            group.primaryPool = new ConcurrencyLimit(firstOf(1));
+            // The limit that the previous primary was reduced to says nothing about the new one.
+            checkNeeded = true;
+            group.primaryPool = new ConcurrencyLimit(initialPoolLimit(1));
         }
         group.primary = host;
-        group.primaryReportedAt = spoken;
+        group.primaryReportedAt = reportedAt;
         host.reportedReplica = false;
     }
 
-    private void heardRole(Host host, Role role, Moment spoken) {
-        if (role == Role.PRIMARY && !spoken.before(host.group.primaryReportedAt)) {
-            lead(host, spoken);
+    private void applyReportedRole(Host host, Role role, Moment reportedAt) {
+        if (role == Role.PRIMARY && !reportedAt.before(host.group.primaryReportedAt)) {
+            setPrimary(host, reportedAt);
         } else if (role == Role.REPLICA
-                && (host.group.primary != host || !spoken.before(host.group.primaryReportedAt))) {
+                && (host.group.primary != host
+                        || !reportedAt.before(host.group.primaryReportedAt))) {
             host.reportedReplica = true;
             if (host.group.primary == host) {
                 host.group.primary = null;
@@ -356,13 +438,12 @@
             return;
         }
         if (host.connectionRefused) {
-            // It runs, yet refused a connection; one that was down failed its probe first. Guards
-            // against few
-            // connections for many routers: each gives back what it doesn't use. Harm: more
-            // handshakes.
+            // The host runs, but refused a connection; a host that was down would have failed the
+            // probe. Guards against too few connections for many routers: each router closes the
+            // ones that it doesn't use. Cost: more handshakes.
             host.connectionRefused = false;
-            scarceUntil = now.plus(SCARCE_HOLDS);
-            trust(host);
+            connectionsScarceUntil = now.plus(CONNECTION_SCARCITY_TIME);
+            clearSuspicion(host);
         }
         if (position.after(Moment.NEVER)) {
             host.position = host.position.later(position);
@@ -370,14 +451,17 @@
             host.lag = now.since(position);
             host.group.minLag =
                     host.group.members.stream()
-                            .filter(h -> now.since(h.positionReportedAt).shorterThan(REPORT_HOLDS))
+                            .filter(
+                                    h ->
+                                            now.since(h.positionReportedAt)
+                                                    .shorterThan(POSITION_REPORT_TTL))
                             .map(h -> h.lag)
                             .min(Comparator.naturalOrder())
                             .orElse(Span.ZERO);
-            // A report is as old as its position at the least, so a late report cannot overrule an
-            // answer.
-            heardRole(host, role, position);
-            stirred = true;
+            // A report is at least as old as its position. Dated by that, a delayed report does not
+            // override a newer answer.
+            applyReportedRole(host, role, position);
+            checkNeeded = true;
         }
     }
 
@@ -391,236 +475,264 @@
             Moment position,
             Span took) {
         now = time;
-        stirred = true;
+        checkNeeded = true;
         Rpc rpc = callOut.rpc;
         Host host = callOut.host;
         callOut.ended = true;
         host.inFlight.remove(callOut);
         if (host.inFlight.isEmpty()) {
-            working.remove(host);
+            busyHosts.remove(host);
         }
         rpc.inFlight--;
         if (!outcome.provesNotRun && rpc.firstPossibleRunAt == null) {
             rpc.firstPossibleRunAt = callOut.sentAt;
         }
         if (outcome.answered) {
-            answered(callOut, outcome, role, position, took);
+            recordAnswer(callOut, outcome, role, position, took);
         } else if (outcome == Outcome.CONNECT_FAILED
                 && !host.lastUsefulAnswerAt.after(callOut.sentAt)) {
-            // One connection of many that stays silent is no silent host: it has answered on
-            // another since.
-            host.connectionRefused = took.shorterThan(AT_ONCE);
-            doubt(host);
-            if (host.connectionRefused && newsProbes.tryTake()) {
+            // If the host has answered on another connection since, only this connection failed.
+            host.connectionRefused = took.shorterThan(IMMEDIATE_REFUSAL_TIME);
+            markSuspect(host);
+            if (host.connectionRefused && healthProbeBudget.tryTake()) {
                 probe(host);
             }
         } else if (outcome == Outcome.TIMED_OUT) {
-            strained(callOut, took.ratioTo(rpc.method.softDeadline()));
+            recordLatencyRatio(callOut, took.ratioTo(rpc.method.softDeadline()));
         }
-        leave(callOut, took);
-        if (now.before(scarceUntil) && host.inFlight.isEmpty()) {
+        releasePoolSlot(callOut, took);
+        if (now.before(connectionsScarceUntil) && host.inFlight.isEmpty()) {
             outbound.closeIdleConnections(host);
         }
-        step(
+        handle(
                 rpc,
                 outcome == Outcome.OK
-                        ? Input.OK
-                        : closed ? Input.LEFT : outcome.provesNotRun ? Input.UNRUN : Input.UNSURE);
+                        ? Event.OK
+                        : closed
+                                ? Event.CLOSED
+                                : outcome.provesNotRun ? Event.NOT_RUN : Event.MAY_HAVE_RUN);
     }
 
     /**
-     * A pool with room for less than one call-out rests after each, in proportion to the time it
-     * took.
+     * Releases a call-out's slot in its pool. A pool with a limit below 1 then stays closed for a
+     * time proportional to the call-out's, so that its mean concurrency matches the limit.
      */
-    private void leave(CallOut callOut, Span took) {
+    private void releasePoolSlot(CallOut callOut, Span took) {
         ConcurrencyLimit pool = callOut.pool;
         if (!callOut.releasedFromPool) {
             pool.inFlight--;
-            Span held =
+            Span occupied =
                     took.longer(callOut.overdue ? callOut.rpc.method.softDeadline() : Span.ZERO);
             pool.availableAt =
-                    pool.availableAt.later(now.plus(held.times(Math.max(0, 1 / pool.limit - 1))));
+                    pool.availableAt.later(
+                            now.plus(occupied.times(Math.max(0, 1 / pool.limit - 1))));
         }
     }
 
-    private void answered(CallOut callOut, Outcome outcome, Role role, Moment position, Span took) {
+    private void recordAnswer(
+            CallOut callOut, Outcome outcome, Role role, Moment position, Span took) {
         Rpc rpc = callOut.rpc;
         Host host = callOut.host;
-        Consistency freshness = rpc.method.consistency();
+        Consistency consistency = rpc.method.consistency();
         if (outcome == Outcome.OVERLOADED) {
-            // A hung host whose queue is full still turns work away: that is no sign of health.
-            rest(host);
+            // Not a sign of health: a hung host with a full queue also rejects RPCs.
+            eject(host);
             host.concurrency.limit =
                     Math.max(
-                            LEAST_LIMIT,
-                            Math.min(host.concurrency.limit, host.inFlight.size()) * LIMIT_CUT);
+                            MIN_LIMIT,
+                            Math.min(host.concurrency.limit, host.inFlight.size())
+                                    * LIMIT_DECREASE_FACTOR);
             callOut.overdue = true;
-            strained(callOut, 1);
+            recordLatencyRatio(callOut, 1);
         } else if (outcome == Outcome.ERROR) {
-            erred(rpc, host);
+            recordError(rpc, host);
         } else {
-            errorShare -= SMOOTHING * errorShare;
+            errorRate -= SMOOTHING * errorRate;
             host.lastUsefulAnswerAt = now;
             host.connectionRefused = false;
             host.consecutiveEjections = 0;
             host.consecutiveErrors = 0;
             if (host.suspect) {
-                trust(host);
+                clearSuspicion(host);
             }
         }
-        boolean committed = outcome == Outcome.OK && freshness == Consistency.WRITE;
+        boolean committed = outcome == Outcome.OK && consistency == Consistency.WRITE;
         if (position.after(Moment.NEVER)) {
-            // A commit is told rounded up, so the log is known applied only to just before it.
+            // The host rounds the position of a commit up; only the rounded-down one is sure.
             host.position =
                     host.position.later(committed ? position.minus(COMMIT_ROUNDING) : position);
             if (committed && deployment.sessionCommitsTracked() && rpc.session != null) {
-                commits.put(rpc.session, new Commit(host.group, position));
+                sessionCommits.put(rpc.session, new Commit(host.group, position));
             }
         }
-        heardRole(host, role, now);
-        if (freshness != Consistency.WRITE
+        applyReportedRole(host, role, now);
+        if (consistency != Consistency.WRITE
                 && deployment.staleReadPolicy() == StaleReadPolicy.REJECT) {
             if (outcome == Outcome.OK) {
-                host.position = host.position.later(need(rpc, callOut.sentAt));
-                if (!need(rpc, callOut.sentAt).before(host.behindPosition)) {
+                host.position = host.position.later(requiredPosition(rpc, callOut.sentAt));
+                if (!requiredPosition(rpc, callOut.sentAt).before(host.behindPosition)) {
                     host.behindAt = Moment.NEVER;
                 }
             } else if (outcome == Outcome.INELIGIBLE) {
                 host.behindAt = now;
-                host.behindPosition = need(rpc, callOut.sentAt);
+                host.behindPosition = requiredPosition(rpc, callOut.sentAt);
                 rpc.rejectedAsBehind = true;
             }
         }
         if (outcome == Outcome.OK) {
             host.recentOkCount.value =
-                    1 + host.recentOkCount.value * lasting(host.recentOkCount, RATE_OVER);
+                    1 + host.recentOkCount.value * decay(host.recentOkCount, RATE_WINDOW);
             host.recentOkCount.updatedAt = now;
-            timed(callOut, took);
+            recordResponseTime(callOut, took);
         }
     }
 
-    private void rest(Host host) {
+    private void eject(Host host) {
         host.ejectedUntil =
-                now.plus(REST.times(1 << Math.min(REST_DOUBLINGS, host.consecutiveEjections++)));
+                now.plus(
+                        BASE_EJECTION_TIME.times(
+                                1
+                                        << Math.min(
+                                                MAX_EJECTION_DOUBLINGS,
+                                                host.consecutiveEjections++)));
     }
 
     /**
-     * Tells RPCs that err wherever they go from hosts that err on whatever comes: only a row of
-     * errors that the share of errors among all answers doesn't explain is held against a host, and
-     * an RPC that has erred at two hosts is itself to blame. Guards against floods of bad RPCs that
-     * would put every host to rest. Harm: while many RPCs err, a host that errs on all is left
-     * later.
+     * Distinguishes RPCs that fail on any host from hosts that fail any RPC. A host is ejected only
+     * for consecutive errors that the overall error rate does not explain, and an RPC that failed
+     * on two hosts is considered the cause itself. Guards against floods of bad RPCs that would
+     * eject every host. Cost: while many RPCs fail, a host that fails all of them is ejected later.
      */
-    private void erred(Rpc rpc, Host host) {
+    private void recordError(Rpc rpc, Host host) {
         if (rpc.lastErrorHost == null) {
-            errorShare += SMOOTHING * (1 - errorShare);
+            errorRate += SMOOTHING * (1 - errorRate);
         }
         rpc.erredOnTwoHosts = rpc.lastErrorHost != null && rpc.lastErrorHost != host;
         rpc.lastErrorHost = host;
-        boolean counted = rpc.customer != null && !rpc.overQuota && !rpc.clientRetry;
-        if (counted
+        boolean chargedToQuota = rpc.customer != null && !rpc.overQuota && !rpc.clientRetry;
+        if (chargedToQuota
                 && (rpc.erredOnTwoHosts
                         || rpc.method.idempotency() == Idempotency.NON_IDEMPOTENT)) {
-            // What can't be served anywhere uses up no share.
-            shares.get(rpc.customer.index()).refill(1, Double.MAX_VALUE);
+            // Refunds the quota of an RPC that no host can serve.
+            quotas.get(rpc.customer.index()).refill(1, Double.MAX_VALUE);
         }
-        if (Math.pow(errorShare, ++host.consecutiveErrors) < ERRORS_BY_CHANCE) {
-            rest(host);
+        if (Math.pow(errorRate, ++host.consecutiveErrors) < MIN_ERROR_STREAK_PROBABILITY) {
+            eject(host);
         }
     }
 
-    private void timed(CallOut callOut, Span took) {
+    private void recordResponseTime(CallOut callOut, Span took) {
         Host host = callOut.host;
         Method method = callOut.rpc.method;
         double us = took.us();
-        allMeanUs += SMOOTHING * (us - allMeanUs);
-        meanUs[method.index()] += SMOOTHING * (us - meanUs[method.index()]);
-        if (callOut.pool.latencyRatio.value < EASY) {
-            easyUs[method.index()] += SMOOTHING * (us - easyUs[method.index()]);
+        overallResponseTimeUs += SMOOTHING * (us - overallResponseTimeUs);
+        responseTimeUs[method.index()] += SMOOTHING * (us - responseTimeUs[method.index()]);
+        if (callOut.pool.latencyRatio.value < LOW_LATENCY_RATIO) {
+            unloadedResponseTimeUs[method.index()] +=
+                    SMOOTHING * (us - unloadedResponseTimeUs[method.index()]);
         }
-        // A router with little traffic hears of a zone far oftener than of a host.
-        learn(host.zoneResponseTimeUs, us, HOST_SMOOTHING);
-        learn(host.responseTimeUs, us, HOST_SMOOTHING);
-        strained(callOut, took.ratioTo(method.softDeadline()));
+        // A router with little traffic gets samples for a zone far more often than for a host.
+        addSample(host.zoneResponseTimeUs, us, HOST_SMOOTHING);
+        addSample(host.responseTimeUs, us, HOST_SMOOTHING);
+        recordLatencyRatio(callOut, took.ratioTo(method.softDeadline()));
     }
 
-    /** What a host is expected to take: its own mean, fading into its zone's. */
-    private double expectedUs(Host host) {
-        double fresh = lasting(host.responseTimeUs, HOST_FADES);
-        return fresh * host.responseTimeUs.value + (1 - fresh) * host.zoneResponseTimeUs.value;
+    /**
+     * Returns the expected response time of a host: its own mean, which gives way to its zone's as
+     * its last sample ages.
+     */
+    private double expectedResponseTimeUs(Host host) {
+        double weight = decay(host.responseTimeUs, RESPONSE_TIME_DECAY);
+        return weight * host.responseTimeUs.value + (1 - weight) * host.zoneResponseTimeUs.value;
     }
 
-    /** The part of a figure that still counts: all when just heard, less and less as it fades. */
-    private double lasting(MovingAverage mean, Span over) {
-        return Math.exp(-now.since(mean.updatedAt).ratioTo(over));
+    /** Returns the remaining weight of an average: 1 at its last sample, then decaying. */
+    private double decay(MovingAverage average, Span timeConstant) {
+        return Math.exp(-now.since(average.updatedAt).ratioTo(timeConstant));
     }
 
     /**
-     * The longer nothing was heard, the more a sample weighs: routers with little traffic must
-     * learn, and give way, as fast as others. Returns the weight.
+     * Adds a sample to an average and returns its weight. The weight grows with the time since the
+     * previous sample, so that routers with little traffic adapt, and reduce load, as fast as
+     * others.
      */
-    private double learn(MovingAverage mean, double sample, double least) {
+    private double addSample(MovingAverage average, double sample, double minWeight) {
         double weight =
                 Math.max(
-                        least,
-                        Math.min(MOST_WEIGHT, now.since(mean.updatedAt).ratioTo(SAMPLES_OVER)));
-        mean.value += weight * (sample - mean.value);
-        mean.updatedAt = now;
+                        minWeight,
+                        Math.min(
+                                MAX_SAMPLE_WEIGHT,
+                                now.since(average.updatedAt).ratioTo(FULL_WEIGHT_TIME)));
+        average.value += weight * (sample - average.value);
+        average.updatedAt = now;
         return weight;
     }
 
-    private void strained(CallOut callOut, double ratio) {
-        pace(
+    /** Adapts the limits of a call-out's host and pool to a sample of the latency ratio. */
+    private void recordLatencyRatio(CallOut callOut, double ratio) {
+        adjustLimit(
                 callOut.host.concurrency,
                 ratio,
                 HOST_SMOOTHING,
                 callOut.host.inFlight.size(),
-                LEAST_LIMIT);
-        pace(
+                MIN_LIMIT);
+        adjustLimit(
                 callOut.pool,
                 ratio,
                 SMOOTHING,
                 callOut.pool.inFlight,
-                leastOf(callOut.pool, callOut.host.group));
+                minPoolLimit(callOut.pool, callOut.host.group));
     }
 
-    /** How many of ours may be out, by how answer times compare with soft deadlines. */
-    private void pace(
-            ConcurrencyLimit room, double ratio, double smoothing, int out, double least) {
-        double weight = learn(room.latencyRatio, ratio, smoothing);
-        if (now.since(room.changedAt).shorterThan(LIMIT_REST)) {
+    /**
+     * Adapts the limit on concurrent call-outs to the ratio of response times to soft deadlines.
+     */
+    private void adjustLimit(
+            ConcurrencyLimit concurrency,
+            double ratio,
+            double smoothing,
+            int inFlight,
+            double minLimit) {
+        double weight = addSample(concurrency.latencyRatio, ratio, smoothing);
+        if (now.since(concurrency.changedAt).shorterThan(LIMIT_CHANGE_INTERVAL)) {
             return;
         }
-        if (room.latencyRatio.value > STRAINED) {
-            room.limit =
+        if (concurrency.latencyRatio.value > HIGH_LATENCY_RATIO) {
+            concurrency.limit =
                     Math.max(
-                            least, Math.min(room.limit, out + 1) * Math.min(LIMIT_CUT, 1 - weight));
-            room.changedAt = now;
-        } else if (room.latencyRatio.value < EASY && out + 1 >= room.limit) {
-            double ease = 1 - room.latencyRatio.value / EASY;
-            room.limit =
+                            minLimit,
+                            Math.min(concurrency.limit, inFlight + 1)
+                                    * Math.min(LIMIT_DECREASE_FACTOR, 1 - weight));
+            concurrency.changedAt = now;
+        } else if (concurrency.latencyRatio.value < LOW_LATENCY_RATIO
+                && inFlight + 1 >= concurrency.limit) {
+            double headroom = 1 - concurrency.latencyRatio.value / LOW_LATENCY_RATIO;
+            concurrency.limit =
                     Math.min(
-                            MOST_LIMIT,
-                            room.limit * (1 + LIMIT_GROWTH * ease)
-                                    + LIMIT_STEP * Math.min(1, room.limit));
-            room.changedAt = now;
+                            MAX_LIMIT,
+                            concurrency.limit * (1 + LIMIT_RELATIVE_INCREASE * headroom)
+                                    + LIMIT_ADDITIVE_INCREASE * Math.min(1, concurrency.limit));
+            concurrency.changedAt = now;
         }
     }
 
-    /** Our part of the few call-outs a host that any host can work on without delay. */
-    private double leastOf(ConcurrencyLimit pool, Group group) {
+    /**
+     * Returns this router's share of the few concurrent call-outs that every host can process
+     * without delay.
+     */
+    private double minPoolLimit(ConcurrencyLimit pool, Group group) {
         long count =
                 group.members.stream()
-                        .filter(host -> sendable(host) && !host.suspect && poolOf(host) == pool)
+                        .filter(host -> acceptsSends(host) && !host.suspect && poolOf(host) == pool)
                         .count();
-        return LEAST_A_HOST * Math.max(1, count) / deployment.routerCount();
+        return MIN_POOL_LIMIT_PER_HOST * Math.max(1, count) / deployment.routerCount();
     }
 
-    private double firstOf(int hosts) {
-        return Math.max(1, FIRST_A_HOST * hosts / deployment.routerCount());
+    private double initialPoolLimit(int hostCount) {
+        return Math.max(1, INITIAL_POOL_LIMIT_PER_HOST * hostCount / deployment.routerCount());
     }
 
-    private boolean roomAt(Host host) {
+    private boolean hasCapacity(Host host) {
         ConcurrencyLimit pool = poolOf(host);
         return host.inFlight.size() < host.concurrency.limit
                 && pool.inFlight < pool.limit
@@ -631,82 +743,87 @@
         return host == host.group.primary ? host.group.primaryPool : host.group.replicaPool;
     }
 
-    /** What has passed its soft deadline unanswered says so before its answer does. */
-    private void noteOverdue(Host host) {
+    /** Counts call-outs that pass their soft deadline as slow without waiting for their answers. */
+    private void markOverdue(Host host) {
         for (CallOut callOut : host.inFlight) {
             Span waited = now.since(callOut.sentAt);
             if (!callOut.overdue
                     && !host.suspect
                     && waited.longerThan(callOut.rpc.method.softDeadline())) {
                 callOut.overdue = true;
-                strained(callOut, 1);
-                learn(host.zoneResponseTimeUs, waited.us(), HOST_SMOOTHING);
+                recordLatencyRatio(callOut, 1);
+                addSample(host.zoneResponseTimeUs, waited.us(), HOST_SMOOTHING);
             }
         }
     }
 
-    // ---- silence
+    // ---- suspect hosts
 
     /**
-     * Guards against hosts that take work and answer nothing, whatever the cause: hung, gone
-     * silent, cut off. The more call-outs wait, the sooner it is told. Harm: a host in a long pause
-     * loses its traffic for a moment.
+     * Marks a host as suspect that has been silent for too long, and retries trials that a suspect
+     * host does not answer. Guards against hosts that accept RPCs but answer none, whether they
+     * hang or are unreachable. The more call-outs wait, the sooner that is detected. Cost: a host
+     * in a long pause loses its traffic for a moment.
      */
-    private void listenTo(Host host) {
-        double waited = 0;
-        Moment quietSince = host.inFlight.get(0).sentAt.later(host.lastUsefulAnswerAt);
-        for (int i = 0; i < Math.min(SILENCE_VOICES, host.inFlight.size()); i++) {
-            waited += now.since(host.inFlight.get(i).sentAt.later(host.lastUsefulAnswerAt)).us();
-        }
-        double mean =
+    private void checkSilence(Host host) {
+        double totalWaitUs = 0;
+        Moment silentSince = host.inFlight.get(0).sentAt.later(host.lastUsefulAnswerAt);
+        for (int i = 0; i < Math.min(MAX_SILENCE_SAMPLES, host.inFlight.size()); i++) {
+            totalWaitUs +=
+                    now.since(host.inFlight.get(i).sentAt.later(host.lastUsefulAnswerAt)).us();
+        }
+        double meanUs =
                 Math.max(
-                        allMeanUs,
+                        overallResponseTimeUs,
                         Math.max(host.zoneResponseTimeUs.value, host.responseTimeUs.value));
         if (!host.suspect
-                && waited > SILENCE * mean
-                && now.since(quietSince).longerThan(LEAST_SILENCE)) {
-            doubt(host);
+                && totalWaitUs > SILENCE_FACTOR * meanUs
+                && now.since(silentSince).longerThan(MIN_SILENCE)) {
+            markSuspect(host);
         } else if (host.suspect) {
             for (CallOut trial : new ArrayList<>(host.inFlight)) {
-                if (!trial.cancelled && now.since(trial.sentAt).us() > TRIAL_PATIENCE * mean) {
-                    rescue(trial);
+                if (!trial.cancelled
+                        && now.since(trial.sentAt).us() > TRIAL_TIMEOUT_FACTOR * meanUs) {
+                    retryElsewhere(trial);
                 }
             }
         }
     }
 
-    private void doubt(Host host) {
+    private void markSuspect(Host host) {
         host.failedTrials = host.suspect ? host.failedTrials + 1 : 0;
         if (!host.suspect) {
             host.suspect = true;
             host.suspectSince = now;
             host.lastProbeAnswered = !deployment.probesAllowed();
         }
-        putOffTrial(host);
-        stirred = true;
+        scheduleTrial(host);
+        checkNeeded = true;
         for (CallOut callOut : new ArrayList<>(host.inFlight)) {
-            // What is stuck at a silent host takes no room away from the others.
+            // Call-outs stuck at this host must not use up the pool's limit for the others.
             callOut.pool.inFlight -= callOut.releasedFromPool ? 0 : 1;
             callOut.releasedFromPool = true;
-            rescue(callOut);
+            retryElsewhere(callOut);
         }
     }
 
-    private void putOffTrial(Host host) {
+    private void scheduleTrial(Host host) {
         host.nextTrialAt =
-                now.plus(TRIAL_EVERY.times(1 << Math.min(TRIAL_DOUBLINGS, host.failedTrials)));
+                now.plus(
+                        TRIAL_INTERVAL.times(
+                                1 << Math.min(MAX_TRIAL_DOUBLINGS, host.failedTrials)));
     }
 
-    private void trust(Host host) {
+    private void clearSuspicion(Host host) {
         host.suspect = false;
         host.failedTrials = 0;
     }
 
     /**
-     * Sends elsewhere what may run again: a second copy where allowed, else once the first is
-     * called off.
+     * Retries an idempotent RPC on another host: in parallel where that is allowed, otherwise by
+     * cancelling the call-out, whose end makes the RPC pending again.
      */
-    private void rescue(CallOut callOut) {
+    private void retryElsewhere(CallOut callOut) {
         Rpc rpc = callOut.rpc;
         if (rpc.state != State.IN_FLIGHT
                 || rpc.method.idempotency() != Idempotency.IDEMPOTENT
@@ -714,7 +831,7 @@
             return;
         }
         if (deployment.parallelCallOutsAllowed()) {
-            Host other = choose(rpc);
+            Host other = chooseHost(rpc);
             if (other != null) {
                 send(rpc, other);
             }
@@ -725,8 +842,8 @@
     }
 
     /**
-     * A suspect host gets one idempotent RPC now and then, once a probe has shown that something
-     * runs.
+     * Whether an RPC may be sent to a suspect host as a trial. A host that has answered a probe
+     * gets one idempotent RPC per trial interval.
      */
     private boolean trialDue(Host host, Rpc rpc) {
         return rpc.method.idempotency() == Idempotency.IDEMPOTENT
@@ -740,38 +857,42 @@
     @Override
     public void onRpcArrived(Moment time, Rpc rpc) {
         now = time;
-        step(rpc, Input.ARRIVED);
+        handle(rpc, Event.ARRIVED);
     }
 
     @Override
     public void onClientLeft(Moment time, Rpc rpc) {
         now = time;
-        step(rpc, Input.LEFT);
+        handle(rpc, Event.CLOSED);
     }
 
-    private void step(Rpc rpc, Input input) {
-        for (Row row : TABLE) {
-            if (row.state == rpc.state && row.input == input) {
-                rpc.state = row.next;
-                row.effect.accept(this, rpc);
+    private void handle(Rpc rpc, Event event) {
+        for (Transition transition : TRANSITIONS) {
+            if (transition.from == rpc.state && transition.event == event) {
+                rpc.state = transition.to;
+                transition.action.accept(this, rpc);
                 return;
             }
         }
     }
 
-    private void hold(Rpc rpc) {
-        held.add(rpc);
-        stirred = true;
+    private void enqueue(Rpc rpc) {
+        pending.add(rpc);
+        checkNeeded = true;
     }
 
+    /** Charges an arriving RPC to its customer's quota and adds to the probe budgets. */
     private void admit(Rpc rpc) {
         if (rpc.customer != null && rpc.customer.quotaPerSecond() > 0) {
-            TokenBucket share = shares.get(rpc.customer.index());
-            rpc.overQuota = rpc.clientRetry ? share.isEmpty() : !share.tryTake();
-        }
-        positionProbes.refill(
-                Math.min(MOST_PROBE_SHARE, POSITION_SPEND / deployment.probeCost()), BURST);
-        newsProbes.refill(Math.min(MOST_PROBE_SHARE, NEWS_SPEND / deployment.probeCost()), BURST);
+            TokenBucket quota = quotas.get(rpc.customer.index());
+            rpc.overQuota = rpc.clientRetry ? quota.isEmpty() : !quota.tryTake();
+        }
+        positionProbeBudget.refill(
+                Math.min(MAX_PROBES_PER_RPC, POSITION_PROBE_SPENDING / deployment.probeCost()),
+                PROBE_BURST);
+        healthProbeBudget.refill(
+                Math.min(MAX_PROBES_PER_RPC, HEALTH_PROBE_SPENDING / deployment.probeCost()),
+                PROBE_BURST);
         if (!rpc.group.used) {
             rpc.group.used = true;
             if (deployment.probesReportPosition()) {
@@ -779,24 +900,25 @@
             }
         }
         if (rpc.rejectOnArrival) {
-            step(rpc, Input.HOPELESS);
+            handle(rpc, Event.UNSERVABLE);
         } else {
-            hold(rpc);
+            enqueue(rpc);
         }
     }
 
-    private void holdIfRepeatable(Rpc rpc) {
+    private void enqueueIfRetryable(Rpc rpc) {
         if (rpc.method.idempotency() == Idempotency.NON_IDEMPOTENT
-                || !repeatable(rpc)
+                || !mayRunAgain(rpc)
                 || !now.before(rpc.deadline)
                 || rpc.erredOnTwoHosts) {
-            step(rpc, Input.HOPELESS);
+            handle(rpc, Event.UNSERVABLE);
         } else {
-            hold(rpc);
+            enqueue(rpc);
         }
     }
 
-    private void finish(Rpc rpc) {
+    /** Cancels the call-outs of an idempotent RPC whose answers are no longer needed. */
+    private void cancelInFlight(Rpc rpc) {
         for (CallOut callOut : rpc.callOuts) {
             if (!callOut.ended
                     && !callOut.cancelled
@@ -808,17 +930,18 @@
         }
     }
 
-    private void answerUnserved(Rpc rpc) {
+    private void pushBackOrAbort(Rpc rpc) {
         if (!mayPushBack(rpc)) {
             outbound.abort(rpc);
         } else {
-            Span wait = deployment.retryAfterSupported() ? deployment.maxRetryAfter() : Span.ZERO;
-            boolean write = rpc.method.idempotency() != Idempotency.IDEMPOTENT;
-            outbound.pushBack(rpc, write ? wait.shorter(WRITE_BACKOFF) : wait);
+            Span retryAfter =
+                    deployment.retryAfterSupported() ? deployment.maxRetryAfter() : Span.ZERO;
+            boolean capped = rpc.method.idempotency() != Idempotency.IDEMPOTENT;
+            outbound.pushBack(rpc, capped ? retryAfter.shorter(MAX_WRITE_RETRY_AFTER) : retryAfter);
         }
     }
 
-    /** Rule 2, for answers: a pushback says that trying again is harmless. */
+    /** Rule 2, for answers: pushing back tells the client that a retry is safe. */
     private boolean mayPushBack(Rpc rpc) {
         return rpc.inFlight == 0
                 && switch (rpc.method.idempotency()) {
@@ -828,60 +951,73 @@
                 };
     }
 
-    private double worthNow(Rpc rpc) {
+    /** Returns the utility of answering an RPC now. */
+    private double currentUtility(Rpc rpc) {
         boolean late = now.since(rpc.arrivedAt).longerThan(rpc.method.softDeadline());
         return (late ? rpc.method.lateUtility() : rpc.method.utility())
                 * (rpc.overQuota ? deployment.overQuotaUtilityFactor() : 1);
     }
 
-    private void place(Rpc rpc) {
-        Host host = choose(rpc);
+    /**
+     * Sends a pending RPC if a host is eligible; gives it up once waiting is no longer worthwhile.
+     */
+    private void sendOrGiveUp(Rpc rpc) {
+        Host host = chooseHost(rpc);
         if (host != null && send(rpc, host)) {
             return;
         }
         Method method = rpc.method;
-        Span mean = new Span((long) meanUs[method.index()]);
-        Span use =
-                method.softDeadline().minus(mean.shorter(method.softDeadline().times(LEAST_USE)));
-        Span early =
-                rpc.deadline.since(rpc.arrivedAt).times(UNSEEN_HOLD).minus(LOOK_EVERY.times(2));
+        Span meanResponseTime = new Span((long) responseTimeUs[method.index()]);
+        Span usefulWait =
+                method.softDeadline()
+                        .minus(
+                                meanResponseTime.shorter(
+                                        method.softDeadline().times(MAX_RESPONSE_TIME_SHARE)));
+        Span maxUnsentWait =
+                rpc.deadline
+                        .since(rpc.arrivedAt)
+                        .times(UNSENT_WAIT_SHARE)
+                        .minus(CHECK_INTERVAL.times(2));
         Span waited = now.since(rpc.arrivedAt);
-        boolean unseen = rpc.callOuts.isEmpty() && !waited.shorterThan(early);
-        boolean useless =
-                method.lateUtility() < LATE_HOLD * method.utility() && !waited.shorterThan(use);
-        boolean shed = rpc.overQuota && waited.ratioTo(method.softDeadline()) > SHED_OVER_SHARE;
-        if (lastCall(rpc) || unseen || useless || shed && mayPushBack(rpc)) {
-            step(rpc, Input.HOPELESS);
+        boolean unsentTooLong = rpc.callOuts.isEmpty() && !waited.shorterThan(maxUnsentWait);
+        boolean tooLate =
+                method.lateUtility() < MIN_LATE_UTILITY_SHARE * method.utility()
+                        && !waited.shorterThan(usefulWait);
+        boolean shedOverQuota =
+                rpc.overQuota && waited.ratioTo(method.softDeadline()) > OVER_QUOTA_WAIT;
+        if (mustAnswerNow(rpc) || unsentTooLong || tooLate || shedOverQuota && mayPushBack(rpc)) {
+            handle(rpc, Event.UNSERVABLE);
         }
     }
 
-    private boolean lastCall(Rpc rpc) {
+    /** Whether an RPC is so close to its deadline that it must be answered in this batch. */
+    private boolean mustAnswerNow(Rpc rpc) {
         return !now.before(rpc.deadline.minus(deployment.tick().times(2)));
     }
 
     /**
-     * Guards against a look that comes late: what is held is answered by its deadline, looked at or
-     * not.
+     * Whether a pending RPC must be answered in this batch. Guards against answers after the
+     * deadline when no check is due before it.
      */
-    private boolean anyAtLastCall() {
-        for (Rpc rpc : held) {
-            if (lastCall(rpc)) {
+    private boolean anyMustAnswerNow() {
+        for (Rpc rpc : pending) {
+            if (mustAnswerNow(rpc)) {
                 return true;
             }
         }
         return false;
     }
 
-    // ---- the ordinary path
+    // ---- choice of a host
 
-    /** The position a read must be answered from, if sent at this time. */
-    private Moment need(Rpc rpc, Moment sent) {
+    /** Returns the log position that a host must have applied to serve a read sent at this time. */
+    private Moment requiredPosition(Rpc rpc, Moment sentAt) {
         return switch (rpc.method.consistency()) {
             case STRONG, WRITE -> rpc.arrivedAt;
-            case BOUNDED -> sent.minus(rpc.method.maxStaleness());
+            case BOUNDED -> sentAt.minus(rpc.method.maxStaleness());
             case SESSION ->
                     deployment.sessionCommitsTracked() && rpc.session != null
-                            ? commits.getOrDefault(rpc.session, NO_COMMIT).position
+                            ? sessionCommits.getOrDefault(rpc.session, NO_COMMIT).position
                             : rpc.sessionPosition;
             case ANY -> Moment.NEVER;
         };
@@ -889,49 +1025,71 @@
 
     private static final Commit NO_COMMIT = new Commit(null, Moment.NEVER);
 
-    private Host choose(Rpc rpc) {
+    /**
+     * Returns the host to send an RPC to, or null if none is eligible now. Reads go to a replica
+     * that is known to have applied the required position. Where hosts reject reads that they are
+     * too far behind for, replicas not known to be behind come next. The primary is the last
+     * choice, after a delay.
+     */
+    private Host chooseHost(Rpc rpc) {
         if (primaryOnly(rpc.method)) {
             return choosePrimary(rpc);
         }
-        Moment need = need(rpc, now);
+        Moment required = requiredPosition(rpc, now);
         Group group = rpc.group;
-        boolean checks = deployment.staleReadPolicy() == StaleReadPolicy.REJECT;
-        if (group.primary != null && group.primary.suspect && fit(rpc, group.primary)) {
-            // A trial, as at a suspect replica: writes are none, and no read may need the primary
-            // for long.
+        boolean hostsReject = deployment.staleReadPolicy() == StaleReadPolicy.REJECT;
+        if (group.primary != null && group.primary.suspect && isEligible(rpc, group.primary)) {
+            // A trial, as for a suspect replica. Writes cannot be trials, and it may take long
+            // until a read needs the primary.
             return group.primary;
         }
-        Host replica = chooseReplica(rpc, need, false);
-        if (replica == null && checks && need.after(Moment.NEVER)) {
-            replica = chooseReplica(rpc, need, true);
+        Host replica = chooseReplica(rpc, required, false);
+        if (replica == null && hostsReject && required.after(Moment.NEVER)) {
+            replica = chooseReplica(rpc, required, true);
         }
         if (replica != null) {
             return replica;
         }
-        boolean waited =
-                checks && rpc.rejectedAsBehind || !now.since(rpc.arrivedAt).shorterThan(BRIEF_WAIT);
-        return waited && group.primary != null && primaryHasRoomFor(rpc) && fit(rpc, group.primary)
+        boolean fallbackDue =
+                hostsReject && rpc.rejectedAsBehind
+                        || !now.since(rpc.arrivedAt).shorterThan(PRIMARY_FALLBACK_DELAY);
+        return fallbackDue
+                        && group.primary != null
+                        && primaryHasCapacityFor(rpc)
+                        && isEligible(rpc, group.primary)
                 ? group.primary
                 : null;
     }
 
     /**
-     * Whether the primary has room for a read beside what only it takes. Where the part for reads
-     * is below one call-out, strain tells instead, the sooner the less the read earns for its time:
-     * the many small parts would add up to a full primary. Strain fades, so that a primary without
-     * writes is tried again.
+     * Whether the primary has capacity for a read beside what only it can serve. If the share for
+     * reads is below one call-out, the latency ratio decides instead, because the small shares of
+     * many routers would add up to an overloaded primary; reads with less utility per time are
+     * stopped earlier. The ratio decays, so that a primary without writes is tried again.
      */
-    private boolean primaryHasRoomFor(Rpc rpc) {
+    private boolean primaryHasCapacityFor(Rpc rpc) {
         ConcurrencyLimit pool = rpc.group.primaryPool;
-        double part = READS_OF_PRIMARY * Math.min(pool.limit, rpc.group.primary.concurrency.limit);
-        double strain = pool.latencyRatio.value * lasting(pool.latencyRatio, STRAIN_FADES);
-        double most = earns(rpc.method);
+        double readLimit =
+                PRIMARY_READ_SHARE * Math.min(pool.limit, rpc.group.primary.concurrency.limit);
+        double latencyRatio =
+                pool.latencyRatio.value * decay(pool.latencyRatio, LATENCY_RATIO_DECAY);
+        double highestUtilityRate = utilityRate(rpc.method);
         for (Method method : deployment.methods()) {
-            most = primaryOnly(method) ? Math.max(most, earns(method)) : most;
-        }
-        return rpc.group.primary.inFlight.size() < Math.max(1, part)
-                && (part >= 1
-                        || strain * Math.min(1, 2 * (1 - earns(rpc.method) / most)) < STRAINED);
+            highestUtilityRate =
+                    primaryOnly(method)
+                            ? Math.max(highestUtilityRate, utilityRate(method))
+                            : highestUtilityRate;
+        }
+        return rpc.group.primary.inFlight.size() < Math.max(1, readLimit)
+                && (readLimit >= 1
+                        || latencyRatio
+                                        * Math.min(
+                                                1,
+                                                2
+                                                        * (1
+                                                                - utilityRate(rpc.method)
+                                                                        / highestUtilityRate))
+                                < HIGH_LATENCY_RATIO);
     }
 
     private static boolean primaryOnly(Method method) {
@@ -939,28 +1097,32 @@
                 || method.consistency() == Consistency.STRONG;
     }
 
-    private double earns(Method method) {
-        return method.utility() / easyUs[method.index()];
+    /** Returns the utility of a method per microsecond of work. */
+    private double utilityRate(Method method) {
+        return method.utility() / unloadedResponseTimeUs[method.index()];
     }
 
     /**
-     * Fewest of our own call-outs in flight among the replicas known to be past the position; with
-     * {@code presumed}, among the most advanced: where hosts check for themselves, all not known to
-     * be behind count as equally advanced, so that one is not drowned. Harm: a replica that catches
-     * up is used a little late.
+     * Returns the eligible replica with the fewest of this router's call-outs in flight, or null. A
+     * suspect replica that is due for a trial comes first.
+     *
+     * @param assumeCaughtUp whether to include all replicas that are not known to be behind,
+     *     instead of only those known to have applied the position. They count as equal, so that
+     *     the most advanced one is not overloaded. Cost: a replica that catches up is used slightly
+     *     late.
      */
-    private Host chooseReplica(Rpc rpc, Moment need, boolean presumed) {
+    private Host chooseReplica(Rpc rpc, Moment required, boolean assumeCaughtUp) {
         Host best = null;
-        double weights = 0;
+        double totalWeight = 0;
         for (Host host : rpc.group.members) {
-            boolean passes =
-                    presumed
-                            ? !behind(host, need) && !triedAt(rpc, host)
-                            : !host.position.before(need);
+            boolean caughtUp =
+                    assumeCaughtUp
+                            ? !isBehind(host, required) && !alreadyTried(rpc, host)
+                            : !host.position.before(required);
             if (host == rpc.group.primary
                     || host == rpc.lastErrorHost
-                    || !passes
-                    || !fit(rpc, host)) {
+                    || !caughtUp
+                    || !isEligible(rpc, host)) {
                 continue;
             }
             if (host.suspect) {
@@ -968,8 +1130,9 @@
             }
             int order =
                     best == null ? -1 : Integer.compare(host.inFlight.size(), best.inFlight.size());
-            weights = (order < 0 ? 0 : weights) + (order <= 0 ? chance(host) : 0);
-            if (order < 0 || order == 0 && random.nextDouble() * weights < chance(host)) {
+            totalWeight = (order < 0 ? 0 : totalWeight) + (order <= 0 ? selectionWeight(host) : 0);
+            if (order < 0
+                    || order == 0 && random.nextDouble() * totalWeight < selectionWeight(host)) {
                 best = host;
             }
         }
@@ -977,47 +1140,57 @@
     }
 
     /**
-     * Ties at random, with better chances for hosts seen to answer sooner: a router with little
-     * traffic has mostly ties, and would load a slow host like a fast one.
+     * Returns a host's weight in the random choice between hosts with equally many call-outs in
+     * flight. Faster hosts weigh more: a router with little traffic has mostly ties, and would
+     * otherwise load slow and fast hosts alike.
      */
-    private double chance(Host host) {
-        double speed = allMeanUs / expectedUs(host);
-        return speed * speed * speed * speed;
+    private double selectionWeight(Host host) {
+        double relativeSpeed = overallResponseTimeUs / expectedResponseTimeUs(host);
+        return relativeSpeed * relativeSpeed * relativeSpeed * relativeSpeed;
     }
 
     /**
-     * Whether a replica would miss: by its last miss, or by how much further behind its report was
-     * than the group's best (late reports make all look behind alike, and tell nothing).
+     * Whether a replica would reject a read as too far behind: it recently rejected one, or its
+     * reported lag exceeds the group's smallest by too much. The smallest lag is subtracted because
+     * delayed reports make all replicas look equally far behind.
      */
-    private boolean behind(Host host, Moment need) {
-        boolean missedLately =
-                !need.before(host.behindPosition)
-                        && now.since(host.behindAt).shorterThan(MISS_HOLDS);
+    private boolean isBehind(Host host, Moment required) {
+        boolean rejectedRecently =
+                !required.before(host.behindPosition)
+                        && now.since(host.behindAt).shorterThan(BEHIND_TTL);
         boolean lagging =
-                now.since(host.positionReportedAt).shorterThan(REPORT_HOLDS)
-                        && now.minus(host.lag.minus(host.group.minLag)).before(need);
-        return missedLately || lagging;
+                now.since(host.positionReportedAt).shorterThan(POSITION_REPORT_TTL)
+                        && now.minus(host.lag.minus(host.group.minLag)).before(required);
+        return rejectedRecently || lagging;
     }
 
-    private static boolean triedAt(Rpc rpc, Host host) {
+    private static boolean alreadyTried(Rpc rpc, Host host) {
         return rpc.callOuts.stream().anyMatch(callOut -> callOut.host == host);
     }
 
+    /**
+     * Returns the primary if it is eligible, otherwise null. If no primary is known, returns for
+     * writes the first member by id that has not recently reported to be a replica, until half of
+     * the RPC's call-outs are used up.
+     */
     private Host choosePrimary(Rpc rpc) {
         Group group = rpc.group;
-        if (group.primary != null && sendable(group.primary)) {
-            return fit(rpc, group.primary) ? group.primary : null;
+        if (group.primary != null && acceptsSends(group.primary)) {
+            return isEligible(rpc, group.primary) ? group.primary : null;
         }
         group.primaryMissingAt = now;
-        boolean roundsOver = rpc.callOuts.size() >= Math.max(1, deployment.maxCallOuts() / 2);
-        if (rpc.method.consistency() == Consistency.STRONG || roundsOver) {
+        boolean searchExhausted = rpc.callOuts.size() >= Math.max(1, deployment.maxCallOuts() / 2);
+        if (rpc.method.consistency() == Consistency.STRONG || searchExhausted) {
             return null;
         }
         for (Host host : group.members) {
-            boolean saidReplica =
+            boolean recentlyReplica =
                     host.reportedReplica
-                            && now.since(host.lastUsefulAnswerAt).shorterThan(ROLE_HOLDS);
-            if (!saidReplica && !host.suspect && host.inFlight.isEmpty() && fit(rpc, host)) {
+                            && now.since(host.lastUsefulAnswerAt).shorterThan(ROLE_REPORT_TTL);
+            if (!recentlyReplica
+                    && !host.suspect
+                    && host.inFlight.isEmpty()
+                    && isEligible(rpc, host)) {
                 return host;
             }
         }
@@ -1025,18 +1198,18 @@
     }
 
     /**
-     * Whether a host may be proposed: not silent (or due for trial), with room, let through by the
-     * gate.
+     * Whether a host is not ejected, has capacity or, if suspect, is due for a trial, and passes
+     * the gate.
      */
-    private boolean fit(Rpc rpc, Host host) {
+    private boolean isEligible(Rpc rpc, Host host) {
         return !now.before(host.ejectedUntil)
-                && (host.suspect ? trialDue(host, rpc) : roomAt(host))
+                && (host.suspect ? trialDue(host, rpc) : hasCapacity(host))
                 && gate(rpc, host);
     }
 
     // ---- the gate
 
-    /** The five rules, for sends. Every send passes here and nowhere else. */
+    /** Whether the five rules permit a send. Every send is checked here and nowhere else. */
     private boolean gate(Rpc rpc, Host host) {
         return rpc.state != State.DONE
                 && host.group == rpc.group
@@ -1045,30 +1218,30 @@
                         || deployment.parallelCallOutsAllowed()
                                 && rpc.inFlight < 2
                                 && rpc.method.idempotency() == Idempotency.IDEMPOTENT
-                                && !triedAt(rpc, host))
-                && stillBound(rpc, host)
-                && coldLets(host);
+                                && !alreadyTried(rpc, host))
+                && isStillPermitted(rpc, host)
+                && isWithinColdRate(host);
     }
 
-    /** What time or news alone may undo between a send's decision and its last byte. */
-    private boolean stillBound(Rpc rpc, Host host) {
+    /** The conditions that can lapse between the decision to send and the write of the request. */
+    private boolean isStillPermitted(Rpc rpc, Host host) {
         return now.before(rpc.deadline)
-                && repeatable(rpc)
-                && sendable(host)
-                && freshEnough(rpc, host);
+                && mayRunAgain(rpc)
+                && acceptsSends(host)
+                && isRecentEnough(rpc, host);
     }
 
     @Override
     public boolean maySendNow(Moment time, CallOut callOut) {
         now = time;
-        return callOut.rpc.state != State.DONE && stillBound(callOut.rpc, callOut.host);
+        return callOut.rpc.state != State.DONE && isStillPermitted(callOut.rpc, callOut.host);
     }
 
     /**
-     * Rule 2, for sends. An RPC never leaves its group, which is the scope within which marks are
-     * known.
+     * Rule 2, for sends: whether the RPC may run again. It never leaves its group, within which its
+     * token is recognized.
      */
-    private boolean repeatable(Rpc rpc) {
+    private boolean mayRunAgain(Rpc rpc) {
         return rpc.firstPossibleRunAt == null
                 || switch (rpc.method.idempotency()) {
                     case IDEMPOTENT -> true;
@@ -1081,29 +1254,33 @@
     }
 
     /**
-     * Rule 3: where only draining binds, the list's word that a host is gone is no proof of what is
-     * up.
+     * Rule 3: whether discovery permits sends to a host. Where only draining stops them, a host
+     * that discovery lists as gone may still be up.
      */
-    private boolean sendable(Host host) {
+    private boolean acceptsSends(Host host) {
         return deployment.onlyDrainingStopsSends()
                 ? !host.seenDraining
                 : host.discoveryState == Host.DiscoveryState.READY;
     }
 
-    /** Rule 5. A host held for the primary is excused until its own answer says otherwise. */
-    private boolean freshEnough(Rpc rpc, Host host) {
+    /**
+     * Rule 5: whether a host is recent enough for a read. The believed primary is exempt until its
+     * own answer shows that it isn't the primary.
+     */
+    private boolean isRecentEnough(Rpc rpc, Host host) {
         return rpc.method.consistency() == Consistency.WRITE
                 || deployment.staleReadPolicy() == StaleReadPolicy.REJECT
                 || host == host.group.primary
-                || !host.position.before(need(rpc, now));
+                || !host.position.before(requiredPosition(rpc, now));
     }
 
     /**
-     * Rule 4: our part of what all routers together may send a cold host in any window. A part
-     * below one send a window becomes a longer wait between sends, begun at a random point: many
-     * small routers keep it.
+     * Rule 4: whether a send stays within this router's share of what all routers together may send
+     * to a cold host in any window. A share below one send per window is kept by a longer gap
+     * between sends with a random phase, so that many routers with little traffic stay within the
+     * total.
      */
-    private boolean coldLets(Host host) {
+    private boolean isWithinColdRate(Host host) {
         Span age = now.since(host.startedAt);
         Span window = deployment.coldRateWindow();
         if (!age.shorterThan(deployment.warmUpTime().plus(window))) {
@@ -1113,45 +1290,46 @@
         double share =
                 deployment.coldStartShare()
                         + (1 - deployment.coldStartShare()) * Math.min(1, warmth);
-        double everyone = deployment.coldRateMultiple() * share * window.us() / 1e6 * COLD_MARGIN;
-        double ours = everyone * warmRate(host.kind) * host.weight;
-        double budget = Math.max(COLD_FLOOR / deployment.routerCount(), ours);
+        double warmRateSeconds =
+                deployment.coldRateMultiple() * share * window.us() / 1e6 * COLD_BUDGET_MARGIN;
+        double ownBudget = warmRateSeconds * warmRate(host.kind) * host.weight;
+        double budget = Math.max(MIN_COLD_SENDS / deployment.routerCount(), ownBudget);
         if (budget >= 1) {
             return host.sends.countWithin(window, now) < (int) budget;
         }
-        // Many spaced sends fall together by chance: the fewer are allowed in all, the more is left
-        // free.
-        double allowed = budget * deployment.routerCount();
-        Span gap = window.times(1 / (budget * (1 - Math.min(0.5, 1 / Math.sqrt(allowed)))));
+        // Sends of many routers can coincide by chance. The lower the total, the larger the margin.
+        double budgetOfAll = budget * deployment.routerCount();
+        Span gap = window.times(1 / (budget * (1 - Math.min(0.5, 1 / Math.sqrt(budgetOfAll)))));
         return !now.before(
                 host.startedAt.plus(gap.times(host.coldPhase)).later(host.sends.last().plus(gap)));
     }
 
     /**
-     * Our own RPCs that a warm host of this kind has lately served a second, per unit of listed
-     * size; reckoned once a look at the most. Each held RPC asks it of each cold host, and would go
-     * through all hosts anew.
+     * Returns the RPCs of this router that a warm host of a kind has recently served per second and
+     * unit of weight. Cached until the next check: it is needed for each pair of a pending RPC and
+     * a cold host, and computing it visits all hosts.
      */
     private double warmRate(int kind) {
-        warmRates = warmRates == null ? reckonWarmRates() : warmRates;
+        warmRates = warmRates == null ? computeWarmRates() : warmRates;
         return warmRates.getOrDefault(kind, 0.0);
     }
 
-    private Map<Integer, Double> reckonWarmRates() {
+    private Map<Integer, Double> computeWarmRates() {
         Map<Integer, Double> rates = new TreeMap<>();
-        Map<Integer, Double> sizes = new TreeMap<>();
+        Map<Integer, Double> weights = new TreeMap<>();
         for (Host host : hosts.values()) {
-            if (sendable(host) && !now.since(host.startedAt).shorterThan(deployment.warmUpTime())) {
-                sizes.merge(host.kind, host.weight, Double::sum);
+            if (acceptsSends(host)
+                    && !now.since(host.startedAt).shorterThan(deployment.warmUpTime())) {
+                weights.merge(host.kind, host.weight, Double::sum);
                 rates.merge(
                         host.kind,
-                        host.recentOkCount.value * lasting(host.recentOkCount, RATE_OVER),
+                        host.recentOkCount.value * decay(host.recentOkCount, RATE_WINDOW),
                         Double::sum);
             }
         }
         double window =
-                RATE_OVER.us() / 1e6 * (1 - Math.exp(-now.since(started).ratioTo(RATE_OVER)));
-        rates.replaceAll((kind, served) -> window <= 0 ? 0 : served / sizes.get(kind) / window);
+                RATE_WINDOW.us() / 1e6 * (1 - Math.exp(-now.since(startedAt).ratioTo(RATE_WINDOW)));
+        rates.replaceAll((kind, okCount) -> window <= 0 ? 0 : okCount / weights.get(kind) / window);
         return rates;
     }
 
@@ -1164,128 +1342,134 @@
         rpc.callOuts.add(callOut);
         rpc.inFlight++;
         if (host.inFlight.isEmpty()) {
-            working.add(host);
+            busyHosts.add(host);
         }
         host.inFlight.add(callOut);
         if (host.suspect) {
             host.failedTrials++;
-            putOffTrial(host);
+            scheduleTrial(host);
         }
         host.sends.record(now);
-        boolean calledOff =
+        boolean untilDeadline =
                 deployment.cancellationAllowed()
                         || deployment.parallelCallOutsAllowed()
                         || rpc.method.idempotency() != Idempotency.IDEMPOTENT;
-        outbound.send(callOut, calledOff ? Span.ZERO : new Span((long) (SILENCE * allMeanUs)));
-        step(rpc, Input.SENT);
+        outbound.send(
+                callOut,
+                untilDeadline
+                        ? Span.ZERO
+                        : new Span((long) (SILENCE_FACTOR * overallResponseTimeUs)));
+        handle(rpc, Event.SENT);
         return true;
     }
 
-    // ---- the round of a batch
+    // ---- end of a batch
 
     @Override
     public void onBatchEnd(Moment time) {
         now = time;
-        boolean due = !now.before(nextLook);
-        if (due) {
-            nextLook = now.plus(LOOK_EVERY);
-            fillBuckets();
+        boolean checkDue = !now.before(nextCheckAt);
+        if (checkDue) {
+            nextCheckAt = now.plus(CHECK_INTERVAL);
+            refillBuckets();
             warmRates = null;
-            for (Host host : new ArrayList<>(working)) {
-                noteOverdue(host);
-                listenTo(host);
+            for (Host host : new ArrayList<>(busyHosts)) {
+                markOverdue(host);
+                checkSilence(host);
             }
         }
-        if (!now.before(nextProbes)) {
-            nextProbes = now.plus(PROBE_EVERY);
-            probeAround();
+        if (!now.before(nextProbeRoundAt)) {
+            nextProbeRoundAt = now.plus(PROBE_ROUND_INTERVAL);
+            sendProbes();
         }
-        if ((due || stirred || anyAtLastCall()) && !held.isEmpty()) {
-            placeHeld();
+        if ((checkDue || checkNeeded || anyMustAnswerNow()) && !pending.isEmpty()) {
+            processPending();
         }
-        stirred = false;
-        if ((!held.isEmpty() || !working.isEmpty()) && !wakeAsked.after(now)) {
-            wakeAsked = nextLook.after(now) ? nextLook : now.plus(LOOK_EVERY);
-            outbound.wakeAt(wakeAsked);
+        checkNeeded = false;
+        if ((!pending.isEmpty() || !busyHosts.isEmpty()) && !wakeRequestedFor.after(now)) {
+            wakeRequestedFor = nextCheckAt.after(now) ? nextCheckAt : now.plus(CHECK_INTERVAL);
+            outbound.wakeAt(wakeRequestedFor);
         }
     }
 
-    private void placeHeld() {
-        held.sort(
-                Comparator.comparingDouble((Rpc rpc) -> -worthNow(rpc))
+    /** Checks the pending RPCs by utility, the latest arrival first among equals. */
+    private void processPending() {
+        pending.sort(
+                Comparator.comparingDouble((Rpc rpc) -> -currentUtility(rpc))
                         .thenComparing(
                                 Comparator.comparing((Rpc rpc) -> rpc.arrivedAt).reversed()));
-        new ArrayList<>(held).forEach(rpc -> step(rpc, Input.LOOK));
-        held.removeIf(rpc -> rpc.state != State.PENDING);
+        new ArrayList<>(pending).forEach(rpc -> handle(rpc, Event.CHECK));
+        pending.removeIf(rpc -> rpc.state != State.PENDING);
     }
 
-    private void fillBuckets() {
-        double seconds = now.since(bucketsFilled).us() / 1e6;
-        bucketsFilled = now;
+    private void refillBuckets() {
+        double seconds = now.since(bucketsRefilledAt).us() / 1e6;
+        bucketsRefilledAt = now;
         for (Customer customer : deployment.customers()) {
             double rate = customer.quotaPerSecond() / deployment.routerCount();
-            shares.get(customer.index()).refill(rate * seconds, Math.max(LEAST_SHARE, rate));
+            quotas.get(customer.index()).refill(rate * seconds, Math.max(MIN_QUOTA_BURST, rate));
         }
-        if (!commits.isEmpty()) {
-            commits.values()
+        if (!sessionCommits.isEmpty()) {
+            sessionCommits
+                    .values()
                     .removeIf(
                             commit ->
                                     commit.group.members.stream()
                                             .allMatch(
                                                     host ->
-                                                            !sendable(host)
+                                                            !acceptsSends(host)
                                                                     || !host.position.before(
                                                                             commit.position)));
         }
     }
 
     /**
-     * Probes: for news of a missing primary, for a sign of life of suspects, and to keep positions
-     * young.
+     * Sends at most one probe to find a missing primary or check a suspect host, and one to refresh
+     * a replica's position.
      */
-    private void probeAround() {
-        Host oldest = null;
-        Host unheard = null;
+    private void sendProbes() {
+        Host positionTarget = null;
+        Host healthTarget = null;
         for (Group group : groups.values()) {
-            boolean misplaced =
-                    now.since(group.primaryMissingAt).shorterThan(NEWS_EVERY)
+            boolean primaryMissing =
+                    now.since(group.primaryMissingAt).shorterThan(HEALTH_PROBE_INTERVAL)
                             || group.primary != null && group.primary.suspect;
             for (Host host : group.members) {
-                if (!group.used || host.probeInFlight || !sendable(host)) {
+                if (!group.used || host.probeInFlight || !acceptsSends(host)) {
                     continue;
                 }
-                if (host.suspect || misplaced && deployment.probesReportPosition()) {
-                    boolean due = !now.since(host.probedAt).shorterThan(NEWS_EVERY);
-                    unheard = due ? longerUnprobed(host, unheard) : unheard;
+                if (host.suspect || primaryMissing && deployment.probesReportPosition()) {
+                    boolean due = !now.since(host.probedAt).shorterThan(HEALTH_PROBE_INTERVAL);
+                    healthTarget = due ? longestUnprobed(host, healthTarget) : healthTarget;
                 } else if (host != group.primary) {
-                    oldest = longerUnprobed(host, oldest);
+                    positionTarget = longestUnprobed(host, positionTarget);
                 }
             }
         }
-        if (unheard != null && newsProbes.tryTake()) {
-            probe(unheard);
+        if (healthTarget != null && healthProbeBudget.tryTake()) {
+            probe(healthTarget);
         }
-        if (oldest != null
+        if (positionTarget != null
                 && deployment.probesReportPosition()
-                && now.since(oldest.position).longerThan(halfBound)
-                && positionProbes.tryTake()) {
-            probe(oldest);
+                && now.since(positionTarget.position).longerThan(positionProbeAge)
+                && positionProbeBudget.tryTake()) {
+            probe(positionTarget);
         }
     }
 
-    private static Host longerUnprobed(Host host, Host other) {
+    private static Host longestUnprobed(Host host, Host other) {
         return other == null || host.probedAt.before(other.probedAt) ? host : other;
     }
 
     private void probe(Host host) {
-        if (deployment.probesAllowed() && !host.probeInFlight && sendable(host)) {
+        if (deployment.probesAllowed() && !host.probeInFlight && acceptsSends(host)) {
             host.probeInFlight = true;
             host.probedAt = now;
             outbound.probe(host);
         }
     }
 
-    // ---- the door's look-ups
+    // ---- lookups
 
     @Override
     public Host host(String id) {
