--- a/router/src/test/java/ironwind/ArchitectureTest.java
+++ b/router/src/test/java/ironwind/ArchitectureTest.java
@@ -7,11 +7,11 @@
 import com.tngtech.archunit.lang.syntax.ArchRuleDefinition;
 import com.tngtech.archunit.library.Architectures;
 
-/** Dependencies point one way, and what decides does no I/O. */
+/** Packages depend on each other in one direction only, and the decision logic does no I/O. */
 @AnalyzeClasses(packages = "ironwind", importOptions = ImportOption.DoNotIncludeTests.class)
 class ArchitectureTest {
     @ArchTest
-    static final ArchRule ONE_WAY =
+    static final ArchRule LAYERS_DEPEND_IN_ONE_DIRECTION =
             Architectures.layeredArchitecture()
                     .consideringOnlyDependenciesInLayers()
                     .layer("boot")
@@ -50,7 +50,7 @@
                     .mayOnlyBeAccessedByLayers("start", "boot");
 
     @ArchTest
-    static final ArchRule DECIDING_DOES_NO_IO =
+    static final ArchRule DECISIONS_DO_NO_IO =
             ArchRuleDefinition.noClasses()
                     .that()
                     .resideInAnyPackage(
--- a/router/src/test/java/ironwind/LogicTest.java
+++ b/router/src/test/java/ironwind/LogicTest.java
@@ -21,20 +21,28 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 class LogicTest {
-    private static Scene scene(StaleReadPolicy checks) {
-        return new Scene(checks, checks == StaleReadPolicy.SERVE, Idempotency.NON_IDEMPOTENT, 2)
-                .list(true, "a:primary", "b", "c");
-    }
-
-    /** Lets b and c tell positions of these ages by answering any-reads. */
-    private static Scene positions(long ageOfB, long ageOfC) {
-        Scene scene = scene(StaleReadPolicy.SERVE);
-        Rpc first = scene.arrive(Scene.ANY);
-        Rpc second = scene.arrive(Scene.ANY);
+    private static LogicFixture fixture(StaleReadPolicy staleReadPolicy) {
+        return new LogicFixture(
+                        staleReadPolicy,
+                        staleReadPolicy == StaleReadPolicy.SERVE,
+                        Idempotency.NON_IDEMPOTENT,
+                        2)
+                .discover(true, "a:primary", "b", "c");
+    }
+
+    /** Returns a fixture in which b and c have reported positions of these ages. */
+    private static LogicFixture fixtureWithPositions(long ageOfBMs, long ageOfCMs) {
+        LogicFixture fixture = fixture(StaleReadPolicy.SERVE);
+        Rpc first = fixture.arrive(LogicFixture.ANY);
+        Rpc second = fixture.arrive(LogicFixture.ANY);
         for (Rpc rpc : List.of(first, second)) {
-            scene.end(rpc, Outcome.OK, Role.REPLICA, Scene.path(rpc).equals("b") ? ageOfB : ageOfC);
+            fixture.endCallOut(
+                    rpc,
+                    Outcome.OK,
+                    Role.REPLICA,
+                    LogicFixture.hostPath(rpc).equals("b") ? ageOfBMs : ageOfCMs);
         }
-        return scene;
+        return fixture;
     }
 
     @ParameterizedTest(name = "method {0}, token {1} ms old, b {2} ms and c {3} ms behind: {4}")
@@ -49,67 +57,67 @@
         "1, 0, 0, 0, a",
         "0, 0, 0, 0, a"
     })
-    void gateTakesReplicasKnownPastThePositionElseThePrimaryAfterABriefWait(
-            int method, long token, long b, long c, String expected) {
-        Scene scene = positions(b, c);
-        Rpc rpc = scene.arrive(method, token);
-        scene.pass(40);
-        assertThat(expected.split("\\|")).contains(Scene.path(rpc));
+    void readsGoToReplicasPastThePositionOrToThePrimaryAfterADelay(
+            int method, long tokenAgeMs, long ageOfBMs, long ageOfCMs, String expected) {
+        LogicFixture fixture = fixtureWithPositions(ageOfBMs, ageOfCMs);
+        Rpc rpc = fixture.arrive(method, tokenAgeMs);
+        fixture.advance(40);
+        assertThat(expected.split("\\|")).contains(LogicFixture.hostPath(rpc));
     }
 
     @Test
-    void fewestOwnInFlightWinsAmongPassingReplicas() {
-        Scene scene = positions(10, 10);
-        Rpc first = scene.arrive(Scene.BOUNDED);
-        Rpc second = scene.arrive(Scene.BOUNDED);
-        assertThat(List.of(Scene.path(first), Scene.path(second)))
+    void replicaWithFewestCallOutsInFlightIsChosen() {
+        LogicFixture fixture = fixtureWithPositions(10, 10);
+        Rpc first = fixture.arrive(LogicFixture.BOUNDED);
+        Rpc second = fixture.arrive(LogicFixture.BOUNDED);
+        assertThat(List.of(LogicFixture.hostPath(first), LogicFixture.hostPath(second)))
                 .containsExactlyInAnyOrder("b", "c");
     }
 
     /**
-     * Guards against an RPC that nothing holds any more and that still goes out, or stays without
-     * an answer.
+     * Guards against sending an RPC for which there is no memory or time left, or leaving it
+     * without an answer.
      */
     @Test
-    void whatThereIsNoRoomToHoldIsPushedBackAtOnceAndGoesNowhere() {
-        Scene scene =
-                new Scene(StaleReadPolicy.SERVE, false, Idempotency.NON_IDEMPOTENT, 1)
-                        .list(true, "a:primary", "b");
+    void rpcRejectedOnArrivalIsPushedBackAndNeverSent() {
+        LogicFixture fixture =
+                new LogicFixture(StaleReadPolicy.SERVE, false, Idempotency.NON_IDEMPOTENT, 1)
+                        .discover(true, "a:primary", "b");
         Rpc rpc =
                 new Rpc(
                         "x",
-                        scene.arrive(Scene.ANY).method,
+                        fixture.arrive(LogicFixture.ANY).method,
                         null,
-                        scene.logic.group(1),
+                        fixture.logic.group(1),
                         "s",
-                        scene.now(),
-                        scene.now().plus(Span.ofMillis(900)),
+                        fixture.now(),
+                        fixture.now().plus(Span.ofMillis(900)),
                         Moment.NEVER,
                         false);
         rpc.rejectOnArrival = true;
-        scene.asked.clear();
-        scene.logic.onRpcArrived(scene.now(), rpc);
-        scene.logic.onBatchEnd(scene.now());
-        assertThat(scene.asked).containsExactly("push back x");
+        fixture.actions.clear();
+        fixture.logic.onRpcArrived(fixture.now(), rpc);
+        fixture.logic.onBatchEnd(fixture.now());
+        assertThat(fixture.actions).containsExactly("push back x");
         assertThat(rpc.callOuts).isEmpty();
     }
 
     @Test
-    void whereHostsCheckAReplicaIsTriedThenThePrimaryAndOneFoundBehindIsLeftAlone() {
-        Scene scene = scene(StaleReadPolicy.REJECT);
-        Rpc first = scene.arrive(Scene.SESSION, 100);
-        String replica = Scene.path(first);
+    void replicasThatRejectAreTriedBeforeThePrimaryAndSkippedAfterwards() {
+        LogicFixture fixture = fixture(StaleReadPolicy.REJECT);
+        Rpc first = fixture.arrive(LogicFixture.SESSION, 100);
+        String replica = LogicFixture.hostPath(first);
         assertThat(replica).isIn("b", "c");
-        scene.end(first, Outcome.INELIGIBLE, Role.REPLICA, -1);
+        fixture.endCallOut(first, Outcome.INELIGIBLE, Role.REPLICA, -1);
         String other = replica.equals("b") ? "c" : "b";
-        scene.end(first, Outcome.INELIGIBLE, Role.REPLICA, -1).pass(20);
-        assertThat(Scene.path(first)).isEqualTo(replica + "," + other + ",a");
-        Rpc second = scene.arrive(Scene.SESSION, 50);
-        scene.pass(30);
-        assertThat(Scene.path(second)).isEqualTo("a");
+        fixture.endCallOut(first, Outcome.INELIGIBLE, Role.REPLICA, -1).advance(20);
+        assertThat(LogicFixture.hostPath(first)).isEqualTo(replica + "," + other + ",a");
+        Rpc second = fixture.arrive(LogicFixture.SESSION, 50);
+        fixture.advance(30);
+        assertThat(LogicFixture.hostPath(second)).isEqualTo("a");
     }
 
-    @ParameterizedTest(name = "{0} after {1}: sent again {2}, then {3}")
+    @ParameterizedTest(name = "{0} after {1}: retried {2}, then {3}")
     @CsvSource({
         "NON_IDEMPOTENT, ERROR, false, abort",
         "NON_IDEMPOTENT, CONNECTION_LOST, false, abort",
@@ -121,99 +129,105 @@
         "TOKENED, OVERLOADED, true, push back",
         "IDEMPOTENT, ERROR, true, push back"
     })
-    void onlyWhatCannotTakeEffectTwiceGoesAgainOrIsPushedBack(
-            Idempotency effect, Outcome outcome, boolean again, String end) {
-        Scene scene =
-                new Scene(StaleReadPolicy.SERVE, false, effect, 2)
-                        .list(true, "a:primary", "b", "c");
-        Rpc rpc = scene.arrive(Scene.WRITE);
-        scene.end(rpc, outcome, Role.UNKNOWN, -1).pass(50);
-        assertThat(rpc.callOuts.size() > 1).isEqualTo(again);
+    void onlyRpcsThatCannotRunTwiceAreRetriedOrPushedBack(
+            Idempotency idempotency, Outcome outcome, boolean retried, String finalAction) {
+        LogicFixture fixture =
+                new LogicFixture(StaleReadPolicy.SERVE, false, idempotency, 2)
+                        .discover(true, "a:primary", "b", "c");
+        Rpc rpc = fixture.arrive(LogicFixture.WRITE);
+        fixture.endCallOut(rpc, outcome, Role.UNKNOWN, -1).advance(50);
+        assertThat(rpc.callOuts.size() > 1).isEqualTo(retried);
         while (rpc.state == State.IN_FLIGHT) {
-            scene.list(true, "a:draining", "b:draining", "c:draining")
-                    .end(rpc, outcome, Role.UNKNOWN, -1);
+            fixture.discover(true, "a:draining", "b:draining", "c:draining")
+                    .endCallOut(rpc, outcome, Role.UNKNOWN, -1);
         }
-        scene.pass(2_000);
+        fixture.advance(2_000);
         assertThat(
-                        scene.asked.stream()
+                        fixture.actions.stream()
                                 .filter(
                                         action ->
                                                 action.startsWith("abort")
                                                         || action.startsWith("push back")))
-                .containsExactly(end + " " + rpc.id);
+                .containsExactly(finalAction + " " + rpc.id);
     }
 
     @Test
-    void aTokenedRpcThatMayHaveRunIsNotSentAgainAfterItsWindow() {
-        Scene scene =
-                new Scene(StaleReadPolicy.SERVE, false, Idempotency.TOKENED, 2)
-                        .list(true, "a:primary", "b");
-        Rpc rpc = scene.arrive(Scene.WRITE);
-        scene.pass(1_000).end(rpc, Outcome.CONNECTION_LOST, Role.UNKNOWN, -1).pass(900);
+    void tokenedRpcThatMayHaveRunIsNotRetriedAfterItsTokenWindow() {
+        LogicFixture fixture =
+                new LogicFixture(StaleReadPolicy.SERVE, false, Idempotency.TOKENED, 2)
+                        .discover(true, "a:primary", "b");
+        Rpc rpc = fixture.arrive(LogicFixture.WRITE);
+        fixture.advance(1_000)
+                .endCallOut(rpc, Outcome.CONNECTION_LOST, Role.UNKNOWN, -1)
+                .advance(900);
         assertThat(rpc.callOuts).hasSize(1);
-        assertThat(scene.asked).endsWith("abort " + rpc.id);
+        assertThat(fixture.actions).endsWith("abort " + rpc.id);
     }
 
     @ParameterizedTest
     @CsvSource({"b:draining", "b:gone"})
-    void nothingNewGoesToAHostThatDrainsOrIsGone(String entry) {
-        Scene scene = scene(StaleReadPolicy.SERVE).list(false, entry);
+    void drainingAndGoneHostsGetNoNewCallOuts(String entry) {
+        LogicFixture fixture = fixture(StaleReadPolicy.SERVE).discover(false, entry);
         for (int i = 0; i < 8; i++) {
-            scene.arrive(Scene.ANY);
+            fixture.arrive(LogicFixture.ANY);
         }
-        assertThat(scene.asked)
+        assertThat(fixture.actions)
                 .anyMatch(action -> action.endsWith(" c"))
                 .noneMatch(action -> action.endsWith(" b"));
     }
 
     @Test
-    void aHostMissingFromACompleteListIsGone() {
-        Scene scene = scene(StaleReadPolicy.SERVE).list(true, "a:primary", "c");
-        scene.arrive(Scene.ANY);
-        scene.arrive(Scene.ANY);
-        assertThat(scene.asked).noneMatch(action -> action.endsWith(" b"));
+    void hostMissingFromACompleteUpdateIsGone() {
+        LogicFixture fixture = fixture(StaleReadPolicy.SERVE).discover(true, "a:primary", "c");
+        fixture.arrive(LogicFixture.ANY);
+        fixture.arrive(LogicFixture.ANY);
+        assertThat(fixture.actions).noneMatch(action -> action.endsWith(" b"));
     }
 
     @ParameterizedTest(name = "{0} routers: at most {1} sends to a cold host in any second")
     @CsvSource({"2, 3", "10, 1", "30, 1"})
-    void aColdHostIsSentOurPartOfItsBudgetInAnyWindow(int routers, int most) {
-        Scene scene =
-                new Scene(StaleReadPolicy.SERVE, true, Idempotency.TOKENED, routers)
-                        .list(true, "a:cold");
-        List<Long> sends = new ArrayList<>();
+    void sendsToAColdHostStayWithinTheRoutersShareInEveryWindow(int routerCount, int maxSends) {
+        LogicFixture fixture =
+                new LogicFixture(StaleReadPolicy.SERVE, true, Idempotency.TOKENED, routerCount)
+                        .discover(true, "a:cold");
+        List<Long> sendTimesMs = new ArrayList<>();
         for (int i = 0; i < 400; i++) {
-            Rpc rpc = scene.arrive(Scene.ANY);
-            scene.pass(5);
+            Rpc rpc = fixture.arrive(LogicFixture.ANY);
+            fixture.advance(5);
             if (rpc.state == State.IN_FLIGHT) {
-                sends.add(i * 5L);
-                scene.end(rpc, Outcome.OK, Role.REPLICA, 0);
+                sendTimesMs.add(i * 5L);
+                fixture.endCallOut(rpc, Outcome.OK, Role.REPLICA, 0);
             }
         }
-        for (long from : sends) {
-            assertThat(sends.stream().filter(at -> at >= from && at < from + 1_000).count())
-                    .isLessThanOrEqualTo(most);
+        for (long windowStart : sendTimesMs) {
+            assertThat(
+                            sendTimesMs.stream()
+                                    .filter(at -> at >= windowStart && at < windowStart + 1_000)
+                                    .count())
+                    .isLessThanOrEqualTo(maxSends);
         }
-        assertThat(sends.size()).isLessThanOrEqualTo(2 * most);
+        assertThat(sendTimesMs.size()).isLessThanOrEqualTo(2 * maxSends);
     }
 
-    /** Hung, gone silent or cut off: told by waiting alone. */
+    /** A host that hangs or is unreachable is detected only by unanswered call-outs. */
     @ParameterizedTest
     @CsvSource({"SERVE, 2", "REJECT, 1"})
-    void aSilentHostIsLeftAndItsIdempotentWorkRescued(StaleReadPolicy checks, int copies) {
-        Scene scene = scene(checks);
-        Rpc stuck = scene.arrive(Scene.ANY);
-        String silent = Scene.path(stuck);
-        scene.othersAnswer(1_300);
-        assertThat(scene.host(silent).suspect).isTrue();
-        assertThat(stuck.callOuts.size()).isEqualTo(copies);
-        if (checks == StaleReadPolicy.REJECT) {
-            assertThat(scene.asked).contains("cancel " + stuck.id);
+    void silentHostIsAvoidedAndItsIdempotentRpcsAreRetried(
+            StaleReadPolicy staleReadPolicy, int callOuts) {
+        LogicFixture fixture = fixture(staleReadPolicy);
+        Rpc stuck = fixture.arrive(LogicFixture.ANY);
+        String silent = LogicFixture.hostPath(stuck);
+        fixture.serveOthers(1_300);
+        assertThat(fixture.host(silent).suspect).isTrue();
+        assertThat(stuck.callOuts.size()).isEqualTo(callOuts);
+        if (staleReadPolicy == StaleReadPolicy.REJECT) {
+            assertThat(fixture.actions).contains("cancel " + stuck.id);
         }
         for (int i = 0; i < 5; i++) {
-            scene.end(scene.arrive(Scene.ANY), Outcome.OK, Role.REPLICA, 0);
+            fixture.endCallOut(fixture.arrive(LogicFixture.ANY), Outcome.OK, Role.REPLICA, 0);
         }
         assertThat(
-                        scene.asked.stream()
+                        fixture.actions.stream()
                                 .filter(
                                         action ->
                                                 action.endsWith(" " + silent)
@@ -222,322 +236,338 @@
     }
 
     @Test
-    void writesAreHeldFromASilentPrimaryUntilAnotherIsHeardOf() {
-        Scene scene = scene(StaleReadPolicy.SERVE);
-        Rpc lost = scene.arrive(Scene.WRITE);
-        scene.othersAnswer(1_300);
-        Rpc held = scene.arrive(Scene.WRITE);
-        scene.pass(300);
-        assertThat(held.state).isEqualTo(State.PENDING);
-        scene.end(scene.arrive(Scene.ANY), Outcome.OK, Role.PRIMARY, 0).pass(20);
-        assertThat(held.callOuts).hasSize(1);
-        assertThat(Scene.path(held)).isNotEqualTo(Scene.path(lost));
-    }
-
-    /** A hung host with a full queue still turns work away, which is no sign of health. */
+    void writesWaitWhileThePrimaryIsSilentUntilAnotherIsReported() {
+        LogicFixture fixture = fixture(StaleReadPolicy.SERVE);
+        Rpc lost = fixture.arrive(LogicFixture.WRITE);
+        fixture.serveOthers(1_300);
+        Rpc waiting = fixture.arrive(LogicFixture.WRITE);
+        fixture.advance(300);
+        assertThat(waiting.state).isEqualTo(State.PENDING);
+        fixture.endCallOut(fixture.arrive(LogicFixture.ANY), Outcome.OK, Role.PRIMARY, 0)
+                .advance(20);
+        assertThat(waiting.callOuts).hasSize(1);
+        assertThat(LogicFixture.hostPath(waiting)).isNotEqualTo(LogicFixture.hostPath(lost));
+    }
+
+    /** A hung host with a full queue still rejects RPCs, which is no sign of health. */
     @ParameterizedTest
     @CsvSource({"OVERLOADED, true", "OK, false"})
     void onlyUsefulAnswersClearSuspicion(Outcome outcome, boolean suspect) {
-        Scene scene = scene(StaleReadPolicy.SERVE);
-        Rpc stuck = scene.arrive(Scene.ANY);
-        String silent = Scene.path(stuck);
-        scene.othersAnswer(1_300);
-        scene.logic.onCallOutEnded(
-                scene.now(),
+        LogicFixture fixture = fixture(StaleReadPolicy.SERVE);
+        Rpc stuck = fixture.arrive(LogicFixture.ANY);
+        String silent = LogicFixture.hostPath(stuck);
+        fixture.serveOthers(1_300);
+        fixture.logic.onCallOutEnded(
+                fixture.now(),
                 stuck.callOuts.get(0),
                 outcome,
                 false,
                 Role.REPLICA,
-                scene.now(),
-                scene.now().since(stuck.callOuts.get(0).sentAt));
-        assertThat(scene.host(silent).suspect).isEqualTo(suspect);
+                fixture.now(),
+                fixture.now().since(stuck.callOuts.get(0).sentAt));
+        assertThat(fixture.host(silent).suspect).isEqualTo(suspect);
     }
 
-    /** A host that answers badly but fast must not look idle. */
+    /** Guards against choosing a host as idle because it rejects RPCs or fails fast. */
     @ParameterizedTest
     @CsvSource({"OVERLOADED", "ERROR"})
-    void aHostThatTurnsWorkAwayRests(Outcome outcome) {
-        Scene scene = scene(StaleReadPolicy.SERVE);
-        int bad = 0;
+    void hostThatRejectsOrFailsRpcsIsEjected(Outcome outcome) {
+        LogicFixture fixture = fixture(StaleReadPolicy.SERVE);
+        int sentToB = 0;
         for (int i = 0; i < 100; i++) {
-            Rpc rpc = scene.arrive(Scene.ANY);
-            boolean atB = Scene.path(rpc).equals("b");
-            bad += atB ? 1 : 0;
-            scene.pass(10).end(rpc, atB ? outcome : Outcome.OK, Role.REPLICA, 0);
+            Rpc rpc = fixture.arrive(LogicFixture.ANY);
+            boolean atB = LogicFixture.hostPath(rpc).equals("b");
+            sentToB += atB ? 1 : 0;
+            fixture.advance(10).endCallOut(rpc, atB ? outcome : Outcome.OK, Role.REPLICA, 0);
         }
-        assertThat(bad).isBetween(1, 10);
+        assertThat(sentToB).isBetween(1, 10);
     }
 
-    @ParameterizedTest(name = "list names b after an answer of b as {0}: primary {1}")
+    @ParameterizedTest(name = "update lists b as primary after b answered as {0}: primary {1}")
     @CsvSource({"REPLICA, ", "PRIMARY, b"})
-    void aLateListDoesNotOverruleAFresherAnswer(Role role, String primary) {
-        Scene scene = scene(StaleReadPolicy.REJECT).list(false, "c:gone");
-        scene.end(scene.arrive(Scene.ANY), Outcome.OK, role, 0);
-        scene.end(
-                scene.arrive(Scene.WRITE),
+    void delayedDiscoveryUpdateDoesNotOverrideANewerAnswer(Role role, String primary) {
+        LogicFixture fixture = fixture(StaleReadPolicy.REJECT).discover(false, "c:gone");
+        fixture.endCallOut(fixture.arrive(LogicFixture.ANY), Outcome.OK, role, 0);
+        fixture.endCallOut(
+                fixture.arrive(LogicFixture.WRITE),
                 Outcome.INELIGIBLE,
                 role == Role.PRIMARY ? Role.PRIMARY : Role.REPLICA,
                 0);
-        scene.list(false, "b:primary");
-        assertThat(scene.logic.group(1).primary)
-                .isEqualTo(primary == null ? null : scene.host(primary));
+        fixture.discover(false, "b:primary");
+        assertThat(fixture.logic.group(1).primary)
+                .isEqualTo(primary == null ? null : fixture.host(primary));
     }
 
     @Test
-    void withNoKnownPrimaryAWriteTriesMembersInIdOrderThenWaitsForNews() {
-        Scene scene =
-                new Scene(StaleReadPolicy.REJECT, false, Idempotency.NON_IDEMPOTENT, 2)
-                        .list(true, "c", "a", "b");
-        Rpc rpc = scene.arrive(Scene.WRITE);
+    void writeWithoutKnownPrimaryTriesMembersByIdThenWaits() {
+        LogicFixture fixture =
+                new LogicFixture(StaleReadPolicy.REJECT, false, Idempotency.NON_IDEMPOTENT, 2)
+                        .discover(true, "c", "a", "b");
+        Rpc rpc = fixture.arrive(LogicFixture.WRITE);
         for (int i = 0; i < 3; i++) {
-            scene.end(rpc, Outcome.INELIGIBLE, Role.REPLICA, -1);
+            fixture.endCallOut(rpc, Outcome.INELIGIBLE, Role.REPLICA, -1);
         }
-        assertThat(Scene.path(rpc)).isEqualTo("a,b,c");
+        assertThat(LogicFixture.hostPath(rpc)).isEqualTo("a,b,c");
         assertThat(rpc.state).isEqualTo(State.PENDING);
-        scene.end(scene.arrive(Scene.ANY), Outcome.OK, Role.PRIMARY, 0);
+        fixture.endCallOut(fixture.arrive(LogicFixture.ANY), Outcome.OK, Role.PRIMARY, 0);
         assertThat(rpc.callOuts).hasSize(4);
     }
 
     @Test
-    void aSlowFleetIsSentLessAndTheRestAnsweredBeforeItIsUseless() {
-        Scene scene = scene(StaleReadPolicy.SERVE);
+    void slowHostsGetFewerCallOutsAndOtherRpcsArePushedBack() {
+        LogicFixture fixture = fixture(StaleReadPolicy.SERVE);
         List<Rpc> rpcs = new ArrayList<>();
         for (int i = 0; i < 200; i++) {
-            rpcs.add(scene.arrive(Scene.ANY));
-            scene.pass(10);
+            rpcs.add(fixture.arrive(LogicFixture.ANY));
+            fixture.advance(10);
             for (Rpc rpc : rpcs) {
                 if (rpc.inFlight == 1
-                        && scene.now().since(rpc.callOuts.get(0).sentAt).us() > 450_000) {
-                    scene.end(rpc, Outcome.OK, Role.REPLICA, 0);
+                        && fixture.now().since(rpc.callOuts.get(0).sentAt).us() > 450_000) {
+                    fixture.endCallOut(rpc, Outcome.OK, Role.REPLICA, 0);
                 }
             }
         }
-        // Fewer than arrive in an answer's time, but never below four a host by all routers
-        // together.
+        // Fewer than arrive within a response time, but at least 4: the pool's limit does not fall
+        // below 5 per host of all routers together, which is 5 for two replicas and two routers.
         assertThat(rpcs.stream().filter(rpc -> rpc.inFlight > 0).count()).isBetween(4L, 12L);
-        assertThat(scene.asked).anyMatch(action -> action.startsWith("push back"));
+        assertThat(fixture.actions).anyMatch(action -> action.startsWith("push back"));
     }
 
     @Test
-    void everyHeldRpcIsAnsweredOnceBeforeItsDeadline() {
-        Scene scene =
-                new Scene(StaleReadPolicy.SERVE, true, Idempotency.NON_IDEMPOTENT, 2)
-                        .list(true, "a:gone");
+    void everyPendingRpcIsAnsweredOnceBeforeItsDeadline() {
+        LogicFixture fixture =
+                new LogicFixture(StaleReadPolicy.SERVE, true, Idempotency.NON_IDEMPOTENT, 2)
+                        .discover(true, "a:gone");
         List<Rpc> rpcs = new ArrayList<>();
-        for (int method = Scene.WRITE; method <= Scene.ANY; method++) {
-            rpcs.add(scene.arrive(method));
+        for (int method = LogicFixture.WRITE; method <= LogicFixture.ANY; method++) {
+            rpcs.add(fixture.arrive(method));
         }
-        scene.pass(1_999);
-        assertThat(scene.asked.stream().filter(action -> action.startsWith("push back")))
+        fixture.advance(1_999);
+        assertThat(fixture.actions.stream().filter(action -> action.startsWith("push back")))
                 .hasSize(rpcs.size());
         assertThat(rpcs).allMatch(rpc -> rpc.state == State.DONE);
     }
 
     @Test
-    void whatIsStuckAtASilentHostTakesNoRoomFromTheOthers() {
-        Scene scene = scene(StaleReadPolicy.SERVE);
-        Rpc stuck = scene.arrive(Scene.WRITE);
+    void callOutsAtASilentHostDoNotCountAgainstThePool() {
+        LogicFixture fixture = fixture(StaleReadPolicy.SERVE);
+        Rpc stuck = fixture.arrive(LogicFixture.WRITE);
         ConcurrencyLimit pool = stuck.callOuts.get(0).pool;
         assertThat(pool.inFlight).isEqualTo(1);
-        scene.othersAnswer(1_300);
+        fixture.serveOthers(1_300);
         assertThat(pool.inFlight).isZero();
-        scene.end(stuck, Outcome.TIMED_OUT, Role.UNKNOWN, -1);
+        fixture.endCallOut(stuck, Outcome.TIMED_OUT, Role.UNKNOWN, -1);
         assertThat(pool.inFlight).isZero();
     }
 
     /**
-     * Guards against a suspect primary that no read needs, and that so stays without writes for
-     * ever.
+     * Guards against a primary that stays suspect, and gets no writes, because no read needs it.
      */
     @Test
-    void aSuspectPrimaryIsTriedWithAReadThoughReplicasPass() {
-        Scene scene = scene(StaleReadPolicy.SERVE).list(true, "a:primary", "b");
-        Rpc write = scene.arrive(Scene.WRITE);
-        scene.pass(100).end(write, Outcome.CONNECT_FAILED, Role.UNKNOWN, -1);
-        assertThat(scene.host("a").suspect).isTrue();
-        scene.logic.onProbeEnded(scene.now(), scene.host("a"), true, Role.UNKNOWN, Moment.NEVER);
-        scene.pass(500);
-        assertThat(Scene.path(scene.arrive(Scene.ANY))).isEqualTo("a");
-    }
-
-    /** Guards against lists that name new hosts without end. */
+    void suspectPrimaryGetsATrialReadAlthoughReplicasAreEligible() {
+        LogicFixture fixture = fixture(StaleReadPolicy.SERVE).discover(true, "a:primary", "b");
+        Rpc write = fixture.arrive(LogicFixture.WRITE);
+        fixture.advance(100).endCallOut(write, Outcome.CONNECT_FAILED, Role.UNKNOWN, -1);
+        assertThat(fixture.host("a").suspect).isTrue();
+        fixture.logic.onProbeEnded(
+                fixture.now(), fixture.host("a"), true, Role.UNKNOWN, Moment.NEVER);
+        fixture.advance(500);
+        assertThat(LogicFixture.hostPath(fixture.arrive(LogicFixture.ANY))).isEqualTo("a");
+    }
+
+    /** Guards against unbounded growth when discovery keeps naming new hosts. */
     @Test
-    void aHostThatIsGoneIsLetGo() {
-        Scene scene = scene(StaleReadPolicy.SERVE).list(true, "a:primary");
-        assertThat(scene.host("b")).isNull();
-        assertThat(scene.logic.group(1).members).containsExactly(scene.host("a"));
+    void goneHostIsRemoved() {
+        LogicFixture fixture = fixture(StaleReadPolicy.SERVE).discover(true, "a:primary");
+        assertThat(fixture.host("b")).isNull();
+        assertThat(fixture.logic.group(1).members).containsExactly(fixture.host("a"));
     }
 
     @Test
-    void amongEqualsTheNewestHeldRpcGoesFirst() {
-        Scene scene = scene(StaleReadPolicy.SERVE).list(true, "a:gone", "b:draining");
-        Rpc older = scene.arrive(Scene.ANY);
-        Rpc newer = scene.pass(50).arrive(Scene.ANY);
-        scene.host("b").concurrency.limit = 1;
-        scene.list(true, "a:gone", "b").pass(20);
+    void newestPendingRpcOfEqualUtilityIsSentFirst() {
+        LogicFixture fixture =
+                fixture(StaleReadPolicy.SERVE).discover(true, "a:gone", "b:draining");
+        Rpc older = fixture.arrive(LogicFixture.ANY);
+        Rpc newer = fixture.advance(50).arrive(LogicFixture.ANY);
+        fixture.host("b").concurrency.limit = 1;
+        fixture.discover(true, "a:gone", "b").advance(20);
         assertThat(List.of(older.inFlight, newer.inFlight)).isEqualTo(List.of(0, 1));
     }
 
     /**
-     * A method that only slow hosts serve must not be given up unsent: it would never be timed
-     * again.
+     * Guards against giving up every RPC of a method that only slow hosts serve: its response time
+     * would never be measured again.
      */
     @Test
-    void aMethodWithSlowAnswersIsStillTried() {
-        Scene scene = positions(900, 900);
+    void methodWithSlowAnswersIsStillSent() {
+        LogicFixture fixture = fixtureWithPositions(900, 900);
         for (int i = 0; i < 30; i++) {
-            Rpc slow = scene.arrive(Scene.BOUNDED);
-            scene.pass(520);
+            Rpc slow = fixture.arrive(LogicFixture.BOUNDED);
+            fixture.advance(520);
             if (slow.inFlight > 0) {
-                scene.end(slow, Outcome.OK, Role.PRIMARY, 0);
+                fixture.endCallOut(slow, Outcome.OK, Role.PRIMARY, 0);
             }
         }
-        Rpc next = scene.pass(60_000).arrive(Scene.BOUNDED);
-        scene.pass(40);
-        assertThat(Scene.path(next)).isEqualTo("a");
+        Rpc next = fixture.advance(60_000).arrive(LogicFixture.BOUNDED);
+        fixture.advance(40);
+        assertThat(LogicFixture.hostPath(next)).isEqualTo("a");
     }
 
     /**
-     * A list that calls live hosts gone: only draining binds there, and writes and probes must go
-     * on too.
+     * Discovery may list running hosts as gone. Where only draining stops sends, writes and probes
+     * must continue too.
      */
     @ParameterizedTest
     @CsvSource({"false, ", "true, a"})
-    void whereOnlyDrainingBindsAHostListedGoneIsStillUsed(
-            boolean onlyDrainingBinds, String expected) {
-        Scene scene =
-                new Scene(StaleReadPolicy.SERVE, true, Idempotency.TOKENED, 2, onlyDrainingBinds)
-                        .list(true, "a:primary", "b")
-                        .list(true);
-        Rpc write = scene.arrive(Scene.WRITE);
-        scene.pass(30);
-        assertThat(Scene.path(write)).isEqualTo(expected == null ? "" : expected);
-        scene.list(false, "a:draining", "b:draining").list(true);
-        assertThat(Scene.path(scene.arrive(Scene.ANY))).isEmpty();
+    void goneHostIsStillUsedWhereOnlyDrainingStopsSends(
+            boolean onlyDrainingStopsSends, String expected) {
+        LogicFixture fixture =
+                new LogicFixture(
+                                StaleReadPolicy.SERVE,
+                                true,
+                                Idempotency.TOKENED,
+                                2,
+                                onlyDrainingStopsSends)
+                        .discover(true, "a:primary", "b")
+                        .discover(true);
+        Rpc write = fixture.arrive(LogicFixture.WRITE);
+        fixture.advance(30);
+        assertThat(LogicFixture.hostPath(write)).isEqualTo(expected == null ? "" : expected);
+        fixture.discover(false, "a:draining", "b:draining").discover(true);
+        assertThat(LogicFixture.hostPath(fixture.arrive(LogicFixture.ANY))).isEmpty();
     }
 
     /**
-     * Hundreds of routers that each ask a silent host every quarter of a second cost more than they
-     * learn.
+     * Guards against hundreds of routers that each probe a silent host every 250 ms, at more cost
+     * than use.
      */
     @Test
-    void probesForNewsStayWithinTheirBudgetHoweverLongAHostIsSilent() {
-        Scene scene = scene(StaleReadPolicy.REJECT);
-        scene.arrive(Scene.WRITE);
-        scene.othersAnswer(1_300);
+    void healthProbesStayWithinTheirBudgetWhileAHostIsSilent() {
+        LogicFixture fixture = fixture(StaleReadPolicy.REJECT);
+        fixture.arrive(LogicFixture.WRITE);
+        fixture.serveOthers(1_300);
         for (int i = 0; i < 80; i++) {
-            scene.logic.onProbeEnded(
-                    scene.now(), scene.host("a"), false, Role.UNKNOWN, Moment.NEVER);
-            scene.pass(250).arrive(Scene.FRESH);
+            fixture.logic.onProbeEnded(
+                    fixture.now(), fixture.host("a"), false, Role.UNKNOWN, Moment.NEVER);
+            fixture.advance(250).arrive(LogicFixture.STRONG);
         }
-        assertThat(scene.host("a").suspect).isTrue();
-        long asked = scene.asked.stream().filter(action -> action.equals("probe a")).count();
-        // The burst, and half a probe for each RPC.
-        assertThat(asked).isBetween(10L, 10 + 100 / 2L);
+        assertThat(fixture.host("a").suspect).isTrue();
+        long probeCount =
+                fixture.actions.stream().filter(action -> action.equals("probe a")).count();
+        // The burst plus half a probe for each RPC.
+        assertThat(probeCount).isBetween(10L, 10 + 100 / 2L);
     }
 
-    /** Bad RPCs err wherever they go; the hosts that say so are well. */
+    /** Bad RPCs fail on any host; the hosts that report the errors are healthy. */
     @Test
-    void anRpcThatErrsAtTwoHostsIsGivenUpAndHostsThatServeOthersDoNotRest() {
-        Scene scene = scene(StaleReadPolicy.SERVE);
+    void rpcFailingOnTwoHostsIsGivenUpAndNeitherHostIsEjected() {
+        LogicFixture fixture = fixture(StaleReadPolicy.SERVE);
         for (int i = 0; i < 30; i++) {
-            Rpc bad = scene.arrive(Scene.ANY);
-            scene.end(bad, Outcome.ERROR, Role.REPLICA, 0).end(bad, Outcome.ERROR, Role.REPLICA, 0);
-            assertThat(Scene.path(bad)).isIn("b,c", "c,b");
-            assertThat(bad.state).isEqualTo(State.DONE);
-            scene.serve(4, Scene.ANY, 20);
+            Rpc failing = fixture.arrive(LogicFixture.ANY);
+            fixture.endCallOut(failing, Outcome.ERROR, Role.REPLICA, 0)
+                    .endCallOut(failing, Outcome.ERROR, Role.REPLICA, 0);
+            assertThat(LogicFixture.hostPath(failing)).isIn("b,c", "c,b");
+            assertThat(failing.state).isEqualTo(State.DONE);
+            fixture.serve(4, LogicFixture.ANY, 20);
         }
-        assertThat(List.of(scene.host("b"), scene.host("c")))
-                .allMatch(host -> !scene.now().before(host.ejectedUntil));
+        assertThat(List.of(fixture.host("b"), fixture.host("c")))
+                .allMatch(host -> !fixture.now().before(host.ejectedUntil));
     }
 
-    /**
-     * The last case guards against a host that was down and is back: it never was full of
-     * connections.
-     */
-    @ParameterizedTest(
-            name = "refused after {0} ms, probes answered {1}: connections given back {2}")
+    /** The last case is a host that was down and is back; its connections were never scarce. */
+    @ParameterizedTest(name = "refused after {0} ms, probes answered {1}: connections closed {2}")
     @CsvSource({"1, true, true", "1, false, false", "250, true, false", "1, false true, false"})
-    void connectionsAreGivenBackWhereAHostThatRunsRefusesOne(
-            long after, String answered, boolean given) {
-        Scene scene = scene(StaleReadPolicy.SERVE);
-        Rpc refused = scene.arrive(Scene.ANY);
+    void idleConnectionsAreClosedWhenARunningHostRefusesOne(
+            long refusedAfterMs, String probeResults, boolean closed) {
+        LogicFixture fixture = fixture(StaleReadPolicy.SERVE);
+        Rpc refused = fixture.arrive(LogicFixture.ANY);
         Host host = refused.callOuts.get(0).host;
-        scene.pass(after).end(refused, Outcome.CONNECT_FAILED, Role.UNKNOWN, -1);
-        for (String runs : answered.split(" ")) {
-            scene.logic.onProbeEnded(
-                    scene.now(), host, Boolean.parseBoolean(runs), Role.UNKNOWN, Moment.NEVER);
+        fixture.advance(refusedAfterMs)
+                .endCallOut(refused, Outcome.CONNECT_FAILED, Role.UNKNOWN, -1);
+        for (String answered : probeResults.split(" ")) {
+            fixture.logic.onProbeEnded(
+                    fixture.now(),
+                    host,
+                    Boolean.parseBoolean(answered),
+                    Role.UNKNOWN,
+                    Moment.NEVER);
         }
-        assertThat(host.suspect).isEqualTo(!given);
-        scene.serve(3, Scene.ANY, 20);
-        assertThat(scene.asked.stream().anyMatch(action -> action.startsWith("close")))
-                .isEqualTo(given);
+        assertThat(host.suspect).isEqualTo(!closed);
+        fixture.serve(3, LogicFixture.ANY, 20);
+        assertThat(fixture.actions.stream().anyMatch(action -> action.startsWith("close")))
+                .isEqualTo(closed);
     }
 
-    /** Many small routers that each keep one call-out out hold more than the hosts can do. */
+    /**
+     * Guards against many routers that together exceed the hosts' capacity with one call-out each.
+     */
     @ParameterizedTest(name = "{0} routers: {1} to {2} of 40 RPCs sent")
     @CsvSource({"2, 30, 40", "200, 1, 12"})
-    void aSmallPartOfAPoolIsKeptByResting(int routers, int least, int most) {
-        Scene scene =
-                new Scene(StaleReadPolicy.REJECT, false, Idempotency.NON_IDEMPOTENT, routers)
-                        .list(true, "a:primary", "b", "c");
+    void poolLimitBelowOneIsKeptByPausing(int routerCount, int minSent, int maxSent) {
+        LogicFixture fixture =
+                new LogicFixture(
+                                StaleReadPolicy.REJECT,
+                                false,
+                                Idempotency.NON_IDEMPOTENT,
+                                routerCount)
+                        .discover(true, "a:primary", "b", "c");
         int sent = 0;
         for (int i = 0; i < 40; i++) {
-            Rpc rpc = scene.arrive(Scene.WRITE);
-            scene.pass(400);
+            Rpc rpc = fixture.arrive(LogicFixture.WRITE);
+            fixture.advance(400);
             sent += rpc.callOuts.size();
             if (rpc.inFlight > 0) {
-                scene.end(rpc, Outcome.OK, Role.PRIMARY, 0);
+                fixture.endCallOut(rpc, Outcome.OK, Role.PRIMARY, 0);
             }
-            scene.pass(100);
+            fixture.advance(100);
         }
-        assertThat(sent).isBetween(least, most);
+        assertThat(sent).isBetween(minSent, maxSent);
     }
 
-    /** Reads that replicas turn away must not fill the primary: only it takes writes. */
+    /** Guards against reads that replicas can't serve and that crowd out the primary's writes. */
     @ParameterizedTest(name = "writes answered after {0} ms: read at the primary {1}")
     @CsvSource({"50, true", "1200, false"})
-    void readsLeaveAStrainedPrimaryToTheWrites(long answered, boolean sent) {
-        Scene scene =
-                new Scene(StaleReadPolicy.SERVE, false, Idempotency.NON_IDEMPOTENT, 100)
-                        .list(true, "a:primary", "b");
-        scene.serve(12, Scene.WRITE, answered).pass(15_000);
-        Rpc read = scene.arrive(Scene.SESSION, 1);
-        scene.pass(100);
-        assertThat(Scene.path(read)).isEqualTo(sent ? "a" : "");
+    void readsDoNotUseAnOverloadedPrimary(long responseTimeMs, boolean sent) {
+        LogicFixture fixture =
+                new LogicFixture(StaleReadPolicy.SERVE, false, Idempotency.NON_IDEMPOTENT, 100)
+                        .discover(true, "a:primary", "b");
+        fixture.serve(12, LogicFixture.WRITE, responseTimeMs).advance(15_000);
+        Rpc read = fixture.arrive(LogicFixture.SESSION, 1);
+        fixture.advance(100);
+        assertThat(LogicFixture.hostPath(read)).isEqualTo(sent ? "a" : "");
     }
 
     @Test
-    void aNewPrimaryIsNotHeldToTheRoomOfTheLast() {
-        Scene scene =
-                new Scene(StaleReadPolicy.SERVE, false, Idempotency.NON_IDEMPOTENT, 100)
-                        .list(true, "a:primary", "b");
-        scene.serve(8, Scene.WRITE, 2_000);
-        Rpc held = scene.arrive(Scene.WRITE);
-        assertThat(held.state).isEqualTo(State.PENDING);
-        scene.end(scene.arrive(Scene.ANY), Outcome.OK, Role.PRIMARY, 0).pass(20);
-        assertThat(Scene.path(held)).isEqualTo("b");
-    }
-
-    /**
-     * A slow or lossy way to a zone shows in every host there, also in those not heard of for long.
-     */
+    void newPrimaryDoesNotInheritThePoolLimit() {
+        LogicFixture fixture =
+                new LogicFixture(StaleReadPolicy.SERVE, false, Idempotency.NON_IDEMPOTENT, 100)
+                        .discover(true, "a:primary", "b");
+        fixture.serve(8, LogicFixture.WRITE, 2_000);
+        Rpc waiting = fixture.arrive(LogicFixture.WRITE);
+        assertThat(waiting.state).isEqualTo(State.PENDING);
+        fixture.endCallOut(fixture.arrive(LogicFixture.ANY), Outcome.OK, Role.PRIMARY, 0)
+                .advance(20);
+        assertThat(LogicFixture.hostPath(waiting)).isEqualTo("b");
+    }
+
+    /** A slow or lossy network path to a zone affects all its hosts, also those without samples. */
     @Test
-    void hostsOfASlowZoneAreUsedLessUnseen() {
-        Scene scene = scene(StaleReadPolicy.SERVE).list(false, "far1", "far2", "far3");
-        int far = 0;
+    void hostsInASlowZoneGetFewRpcsWithoutRecentSamples() {
+        LogicFixture fixture =
+                fixture(StaleReadPolicy.SERVE).discover(false, "far1", "far2", "far3");
+        int sentFar = 0;
         for (int i = 0; i < 300; i++) {
-            Rpc rpc = scene.arrive(Scene.ANY);
-            boolean atFar = Scene.path(rpc).startsWith("far");
-            far += atFar && i >= 100 ? 1 : 0;
-            scene.pass(atFar ? 450 : 60).end(rpc, Outcome.OK, Role.REPLICA, 0);
+            Rpc rpc = fixture.arrive(LogicFixture.ANY);
+            boolean atFar = LogicFixture.hostPath(rpc).startsWith("far");
+            sentFar += atFar && i >= 100 ? 1 : 0;
+            fixture.advance(atFar ? 450 : 60).endCallOut(rpc, Outcome.OK, Role.REPLICA, 0);
         }
-        assertThat(far).isLessThan(20);
+        assertThat(sentFar).isLessThan(20);
     }
 
     /**
-     * Guards against a connection that takes long to come up: what held at the decision must hold
-     * at the write.
+     * Guards against conditions that lapse while a connection is being established: they must hold
+     * at the decision and at the write.
      */
     @ParameterizedTest(
             name = "method {0} at a replica {1} ms behind, written {2} ms later, {3}: {4}")
@@ -548,20 +578,17 @@
         "4, 10, 10, draining, false",
         "4, 10, 10, gone, false"
     })
-    void aSendIsAskedAboutAgainWhenItsConnectionIsUp(
-            int method, long age, long later, String listing, boolean passes) {
-        Scene scene = positions(age, age);
-        Rpc rpc = scene.arrive(method);
+    void sendIsCheckedAgainWhenItsConnectionIsUp(
+            int method, long positionAgeMs, long delayMs, String state, boolean permitted) {
+        LogicFixture fixture = fixtureWithPositions(positionAgeMs, positionAgeMs);
+        Rpc rpc = fixture.arrive(method);
         CallOut callOut = rpc.callOuts.get(0);
-        scene.pass(later).list(false, callOut.host.id + ":" + listing);
-        assertThat(scene.logic.maySendNow(scene.now(), callOut)).isEqualTo(passes);
+        fixture.advance(delayMs).discover(false, callOut.host.id + ":" + state);
+        assertThat(fixture.logic.maySendNow(fixture.now(), callOut)).isEqualTo(permitted);
     }
 
-    /**
-     * Guards against a client that repeats, with little time left, being held until it is too late
-     * to try again.
-     */
-    @ParameterizedTest(name = "method {0}, waits {1} ms: given back between {2} and {3} ms")
+    /** Guards against keeping an RPC pending until its client has no time left for a retry. */
+    @ParameterizedTest(name = "method {0}, waits {1} ms: pushed back between {2} and {3} ms")
     @CsvSource({
         "3, 200, 60, 95",
         "3, 400, 160, 195",
@@ -569,58 +596,62 @@
         "0, 400, 160, 195",
         "0, 2000, 960, 995"
     })
-    void whatNoHostHasSeenIsGivenBackBeforeHalfOfTheClientsTime(
-            int method, long waits, long least, long most) {
-        Scene scene =
-                new Scene(StaleReadPolicy.SERVE, true, Idempotency.NON_IDEMPOTENT, 2)
-                        .list(true, "a:draining", "b:draining");
-        Rpc rpc = scene.arrive(method, 0, waits);
-        scene.pass(least);
+    void unsentRpcIsPushedBackBeforeHalfOfTheClientsTime(
+            int method, long clientTimeoutMs, long minMs, long maxMs) {
+        LogicFixture fixture =
+                new LogicFixture(StaleReadPolicy.SERVE, true, Idempotency.NON_IDEMPOTENT, 2)
+                        .discover(true, "a:draining", "b:draining");
+        Rpc rpc = fixture.arrive(method, 0, clientTimeoutMs);
+        fixture.advance(minMs);
         assertThat(rpc.state).isEqualTo(State.PENDING);
-        scene.pass(most - least);
-        assertThat(scene.asked).contains("push back " + rpc.id);
+        fixture.advance(maxMs - minMs);
+        assertThat(fixture.actions).contains("push back " + rpc.id);
     }
 
     /**
-     * Guards against a look that is not due yet at the last moment of a held RPC: it was answered
-     * by a guard, late.
+     * Guards against a check that is not due before a pending RPC's deadline: the RPC was then
+     * answered late, by a timer meant for defects.
      */
     @ParameterizedTest(name = "a client that waits {0} ms")
     @CsvSource({"300", "303", "306", "309"})
-    void whatIsHeldIsAnsweredAtItsLastMomentWhetherALookIsDueOrNot(long waits) {
-        Scene scene = scene(StaleReadPolicy.SERVE).list(true, "b");
-        Rpc write = scene.arrive(Scene.WRITE, 0, waits);
-        scene.end(write, Outcome.INELIGIBLE, Role.REPLICA, -1).pass(waits - 11);
+    void pendingRpcIsAnsweredBeforeItsDeadlineEvenIfNoCheckIsDue(long clientTimeoutMs) {
+        LogicFixture fixture = fixture(StaleReadPolicy.SERVE).discover(true, "b");
+        Rpc write = fixture.arrive(LogicFixture.WRITE, 0, clientTimeoutMs);
+        fixture.endCallOut(write, Outcome.INELIGIBLE, Role.REPLICA, -1)
+                .advance(clientTimeoutMs - 11);
         assertThat(write.state).isEqualTo(State.PENDING);
-        scene.pass(1);
-        scene.logic.onBatchEnd(scene.now());
+        fixture.advance(1);
+        fixture.logic.onBatchEnd(fixture.now());
         assertThat(write.state).isEqualTo(State.DONE);
-        assertThat(scene.asked).endsWith("push back " + write.id);
+        assertThat(fixture.actions).endsWith("push back " + write.id);
     }
 
-    /** Guards against looks whose cost is held RPCs times cold hosts times all hosts. */
+    /** Guards against checks that cost pending RPCs times cold hosts times all hosts. */
     @Test
-    void aLookAtWhatWaitsForColdHostsCostsNoMoreWhereTheListIsLong() {
-        assertThat(costOfLooks(1_024)).isLessThan(8 * costOfLooks(32));
+    void costOfChecksForColdHostsDoesNotScaleWithTheNumberOfHosts() {
+        assertThat(checkCostNs(1_024)).isLessThan(8 * checkCostNs(32));
     }
 
-    /** Nanoseconds of looks at RPCs that wait for one cold group, the best of some rounds. */
-    private static double costOfLooks(int hosts) {
-        Scene scene = new Scene(StaleReadPolicy.SERVE, false, Idempotency.IDEMPOTENT, 1_024);
-        scene.list(
+    /**
+     * Returns the lowest cost in ns of the checks of RPCs that wait for the cold hosts of a group.
+     */
+    private static double checkCostNs(int hostCount) {
+        LogicFixture fixture =
+                new LogicFixture(StaleReadPolicy.SERVE, false, Idempotency.IDEMPOTENT, 1_024);
+        fixture.discover(
                 true,
-                IntStream.range(0, hosts)
+                IntStream.range(0, hostCount)
                         .mapToObj(i -> i < 6 ? "h" + i + ":cold" : "other" + i)
                         .toArray(String[]::new));
         double best = Double.MAX_VALUE;
         for (int round = 0; round < 8; round++) {
             for (int i = 0; i < 60; i++) {
-                scene.arrive(Scene.ANY);
+                fixture.arrive(LogicFixture.ANY);
             }
-            long begun = System.nanoTime();
-            scene.pass(100);
-            best = Math.min(best, System.nanoTime() - begun);
-            scene.pass(1_000);
+            long startedNs = System.nanoTime();
+            fixture.advance(100);
+            best = Math.min(best, System.nanoTime() - startedNs);
+            fixture.advance(1_000);
         }
         return best;
     }
