--- a/cli/src/main/java/ironwind/cli/LabIdle.java
+++ b/cli/src/main/java/ironwind/cli/LabIdle.java
@@ -1,7 +1,7 @@
 package ironwind.cli;
 
 import io.vertx.core.json.JsonArray;
-import ironwind.lab.IdleTrial;
+import ironwind.lab.IdleBenchmark;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.LinkedHashMap;
@@ -84,11 +84,11 @@
         if (jars.isEmpty()) {
             jars.put("now", Path.of("router/target/ironwind-router.jar"));
         }
-        IdleTrial.Plan plan =
+        IdleBenchmark.Plan plan =
                 small
-                        ? new IdleTrial.Plan(
+                        ? new IdleBenchmark.Plan(
                                 jars, List.of(0, 50), 1, 50, 1, 5_000, 5, -1, 128, config)
-                        : new IdleTrial.Plan(
+                        : new IdleBenchmark.Plan(
                                 jars,
                                 sizes,
                                 routers,
@@ -99,7 +99,7 @@
                                 core,
                                 heapMb,
                                 config);
-        JsonArray figures = new IdleTrial(plan, System.out).run();
+        JsonArray figures = new IdleBenchmark(plan, System.out).run();
         if (json != null) {
             Files.writeString(json, figures.encodePrettily() + "\n");
         }
--- a/cli/src/main/java/ironwind/cli/LabKeeper.java
+++ b/cli/src/main/java/ironwind/cli/LabKeeper.java
@@ -1,6 +1,6 @@
 package ironwind.cli;
 
-import ironwind.lab.KeeperTrial;
+import ironwind.lab.KeeperBenchmark;
 import java.util.List;
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
@@ -23,7 +23,7 @@
 
     @Override
     public Integer call() throws Exception {
-        new KeeperTrial(System.out).run(sizes);
+        new KeeperBenchmark(System.out).run(sizes);
         return 0;
     }
 }
--- a/cli/src/main/java/ironwind/cli/LabSockets.java
+++ b/cli/src/main/java/ironwind/cli/LabSockets.java
@@ -1,6 +1,6 @@
 package ironwind.cli;
 
-import ironwind.lab.SocketTrial;
+import ironwind.lab.SocketBenchmark;
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
@@ -19,11 +19,11 @@
     private int connections;
 
     @Option(names = "--way", defaultValue = "vertx", description = "${COMPLETION-CANDIDATES}")
-    private SocketTrial.Way way;
+    private SocketBenchmark.Way way;
 
     @Override
     public Integer call() throws Exception {
-        new SocketTrial(System.out).run(way, connections);
+        new SocketBenchmark(System.out).run(way, connections);
         return 0;
     }
 }
--- a/cli/src/main/java/ironwind/cli/LibrarySink.java
+++ b/cli/src/main/java/ironwind/cli/LogbackSink.java
@@ -14,13 +14,13 @@
 import org.slf4j.spi.LoggingEventBuilder;
 
 /** Log lines by way of SLF4J and logback, with what else in the program logs there. */
-final class LibrarySink implements Log.Sink {
+final class LogbackSink implements Log.Sink {
     private static final String PAIRS =
             "%d{\"yyyy-MM-dd'T'HH:mm:ss.SSS'Z'\", UTC} %level %msg %kvp{DOUBLE}%n";
 
     private final org.slf4j.Logger logger;
 
-    LibrarySink(LogForm form) {
+    LogbackSink(LogForm form) {
         LoggerContext context = (LoggerContext) LoggerFactory.getILoggerFactory();
         context.reset();
         ConsoleAppender<ILoggingEvent> appender = new ConsoleAppender<>();
--- a/cli/src/main/java/ironwind/cli/Serve.java
+++ b/cli/src/main/java/ironwind/cli/Serve.java
@@ -42,7 +42,7 @@
     public Integer call() throws Exception {
         StartFacts start = StartFacts.read(facts);
         Installation installation = Installation.of(start, config);
-        Log log = new Log(new LibrarySink(form == null ? installation.logForm() : form));
+        Log log = new Log(new LogbackSink(form == null ? installation.logForm() : form));
         new Service(facts, start, installation, log).run();
         return 0;
     }
--- a/cli/src/test/java/ironwind/cli/LibrarySinkTest.java
+++ b/cli/src/test/java/ironwind/cli/LogbackSinkTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /** Lines that a library writes: what they say must be found again by a program. */
-class LibrarySinkTest {
+class LogbackSinkTest {
     @ParameterizedTest
     @EnumSource(LogForm.class)
     void namesAndValuesAreToldAsTheyAre(LogForm form) {
@@ -20,7 +20,7 @@
         ByteArrayOutputStream written = new ByteArrayOutputStream();
         try {
             System.setErr(new PrintStream(written, true, StandardCharsets.UTF_8));
-            Log log = new Log(new LibrarySink(form));
+            Log log = new Log(new LogbackSink(form));
             log.info("ready", "name", "n1", "words", "two \"words\"");
             log.warn("client_refused", "open", 7);
             log.warn("client_refused", "open", 8);
--- a/lab/src/main/java/ironwind/lab/LabClient.java
+++ b/lab/src/main/java/ironwind/lab/AsyncClient.java
@@ -4,15 +4,15 @@
 import ironwind.pg.Frame;
 import ironwind.pg.Frames;
 import ironwind.pg.HostMessage;
-import ironwind.standin.Link;
-import ironwind.standin.Loop;
+import ironwind.standin.Connection;
+import ironwind.standin.EventLoop;
 import java.net.InetSocketAddress;
 
 /**
  * One client's connection: asks, and tells how each question was answered. Silent, it holds next to
  * nothing.
  */
-final class LabClient implements Loop.Handler {
+final class AsyncClient implements EventLoop.Handler {
     private static final int LARGEST = 1 << 22;
 
     /** How a question, or the connection, came out. */
@@ -25,39 +25,39 @@
 
     /** Hears of the end of each question; {@code asked} is the time given with it. */
     interface Listener {
-        void answered(LabClient client, Answer answer, long asked);
+        void answered(AsyncClient client, Answer answer, long asked);
 
         /** The connection is up and welcomed. */
-        default void greeted(LabClient client) {}
+        default void greeted(AsyncClient client) {}
 
         /** It ended while nothing was asked on it. */
-        default void ended(LabClient client) {}
+        default void ended(AsyncClient client) {}
     }
 
     private Listener listener;
-    private Link link;
+    private Connection link;
     private Frames frames;
     private boolean greeted;
     private boolean row;
     private Answer answer;
     private long asked = -1;
 
-    LabClient(Listener listener) {
+    AsyncClient(Listener listener) {
         this.listener = listener;
     }
 
-    static LabClient connect(
-            Loop loop, InetSocketAddress from, InetSocketAddress to, Listener listener) {
+    static AsyncClient connect(
+            EventLoop loop, InetSocketAddress from, InetSocketAddress to, Listener listener) {
         return connect(loop, from, to, listener, 0);
     }
 
-    static LabClient connect(
-            Loop loop,
+    static AsyncClient connect(
+            EventLoop loop,
             InetSocketAddress from,
             InetSocketAddress to,
             Listener listener,
             int receiveBuffer) {
-        LabClient client = new LabClient(listener);
+        AsyncClient client = new AsyncClient(listener);
         client.link = loop.connect(from, to, client, receiveBuffer);
         return client;
     }
@@ -101,13 +101,13 @@
     }
 
     @Override
-    public void opened(Link up) {
+    public void opened(Connection up) {
         link = up;
         link.write(Encoder.startup("client", "core"));
     }
 
     @Override
-    public void received(Link from, byte[] bytes) {
+    public void received(Connection from, byte[] bytes) {
         if (frames == null) {
             frames = new Frames(false, HostMessage.TYPES, LARGEST);
         }
@@ -147,7 +147,7 @@
     }
 
     @Override
-    public void closed(Link from) {
+    public void closed(Connection from) {
         if (asked >= 0) {
             // A fatal error needs no ReadyForQuery behind it.
             end(answer != null ? answer : Answer.CLOSED);
--- a/lab/src/main/java/ironwind/lab/Crowd.java
+++ b/lab/src/main/java/ironwind/lab/ClientWorker.java
@@ -1,7 +1,7 @@
 package ironwind.lab;
 
-import ironwind.lab.LabClient.Answer;
-import ironwind.standin.Loop;
+import ironwind.lab.AsyncClient.Answer;
+import ironwind.standin.EventLoop;
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.io.InputStreamReader;
@@ -18,7 +18,7 @@
  * and each gets one line on standard output: {@code open N}, {@code wake MS}, {@code slow N BYTES},
  * {@code count}, {@code quit}.
  */
-public final class Crowd {
+public final class ClientWorker {
     /** Coming up at one time. */
     private static final int AT_ONCE = 128;
 
@@ -37,14 +37,14 @@
     private static final long SECOND = 1_000_000_000L;
     private static final long OPEN_WAITS_MS = 30_000;
 
-    private final Loop loop = new Loop("crowd");
+    private final EventLoop loop = new EventLoop("crowd");
     private final List<InetSocketAddress> routers;
     private final int number;
-    private final List<LabClient> clients = new ArrayList<>();
+    private final List<AsyncClient> clients = new ArrayList<>();
     private int asked;
     private int opened;
 
-    private Crowd(int number, List<InetSocketAddress> routers) throws IOException {
+    private ClientWorker(int number, List<InetSocketAddress> routers) throws IOException {
         this.number = number;
         this.routers = routers;
     }
@@ -55,7 +55,7 @@
         for (int i = 1; i < args.length; i++) {
             routers.add(new InetSocketAddress("127.0.0.1", Integer.parseInt(args[i])));
         }
-        Crowd crowd = new Crowd(Integer.parseInt(args[0]), routers);
+        ClientWorker crowd = new ClientWorker(Integer.parseInt(args[0]), routers);
         BufferedReader in =
                 new BufferedReader(new InputStreamReader(System.in, StandardCharsets.UTF_8));
         for (String line = in.readLine();
@@ -86,10 +86,10 @@
         CountDownLatch done = new CountDownLatch(more);
         long begun = System.nanoTime();
         int[] left = {more};
-        LabClient.Listener listener =
-                new LabClient.Listener() {
+        AsyncClient.Listener listener =
+                new AsyncClient.Listener() {
                     @Override
-                    public void greeted(LabClient client) {
+                    public void greeted(AsyncClient client) {
                         if (asks) {
                             client.read(id(), "k", OPEN_WAITS_MS, 0);
                         } else {
@@ -98,12 +98,12 @@
                     }
 
                     @Override
-                    public void answered(LabClient client, Answer answer, long at) {
+                    public void answered(AsyncClient client, Answer answer, long at) {
                         end(answer);
                     }
 
                     @Override
-                    public void ended(LabClient client) {
+                    public void ended(AsyncClient client) {
                         end(Answer.CLOSED);
                     }
 
@@ -133,11 +133,11 @@
         return "c" + number + "-" + asked++;
     }
 
-    private LabClient connect(LabClient.Listener listener, int receiveBuffer) {
+    private AsyncClient connect(AsyncClient.Listener listener, int receiveBuffer) {
         int address = opened / OF_ONE_ADDRESS;
         InetSocketAddress from =
                 new InetSocketAddress("127." + (16 + number) + ".0." + (1 + address), 0);
-        return LabClient.connect(
+        return AsyncClient.connect(
                 loop, from, routers.get(opened++ % routers.size()), listener, receiveBuffer);
     }
 
@@ -148,16 +148,16 @@
         CountDownLatch[] done = new CountDownLatch[1];
         long[] sentIn = {0};
         long begun = System.nanoTime();
-        LabClient.Listener listener =
+        AsyncClient.Listener listener =
                 (client, answer, at) -> {
                     answers.merge(answer, 1, Integer::sum);
                     done[0].countDown();
                 };
         loop.post(
                 () -> {
-                    List<LabClient> awake = clients.stream().filter(LabClient::isFree).toList();
+                    List<AsyncClient> awake = clients.stream().filter(AsyncClient::isFree).toList();
                     done[0] = new CountDownLatch(awake.size());
-                    for (LabClient client : awake) {
+                    for (AsyncClient client : awake) {
                         client.listenTo(listener);
                         client.read(id(), "k", waitsMs, 0);
                     }
@@ -176,7 +176,7 @@
         loop.post(
                 () -> {
                     long now = System.nanoTime();
-                    for (LabClient client :
+                    for (AsyncClient client :
                             clients.subList(clients.size() - more, clients.size())) {
                         now += SECOND / SLOW_PER_SECOND;
                         loop.at(
@@ -199,7 +199,7 @@
         long[] open = {0};
         loop.post(
                 () -> {
-                    open[0] = clients.stream().filter(LabClient::isOpen).count();
+                    open[0] = clients.stream().filter(AsyncClient::isOpen).count();
                     counted.countDown();
                 });
         counted.await();
--- a/lab/src/main/java/ironwind/lab/CrowdProcess.java
+++ b/lab/src/main/java/ironwind/lab/ClientWorkerProcess.java
@@ -12,13 +12,13 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** A {@link Crowd} in a process of its own. */
-final class CrowdProcess implements AutoCloseable {
+/** A {@link ClientWorker} in a process of its own. */
+final class ClientWorkerProcess implements AutoCloseable {
     private final Process process;
     private final BufferedWriter to;
     private final BufferedReader from;
 
-    CrowdProcess(int number, List<InetSocketAddress> routers) throws IOException {
+    ClientWorkerProcess(int number, List<InetSocketAddress> routers) throws IOException {
         List<String> command =
                 new ArrayList<>(
                         List.of(
@@ -27,7 +27,7 @@
                                 "-Xmx768m",
                                 "-cp",
                                 System.getProperty("java.class.path"),
-                                Crowd.class.getName(),
+                                ClientWorker.class.getName(),
                                 Integer.toString(number)));
         routers.forEach(router -> command.add(Integer.toString(router.getPort())));
         process =
--- a/lab/src/main/java/ironwind/lab/IdleTrial.java
+++ b/lab/src/main/java/ironwind/lab/IdleBenchmark.java
@@ -2,8 +2,8 @@
 
 import io.vertx.core.json.JsonArray;
 import io.vertx.core.json.JsonObject;
-import ironwind.lab.ActiveLoad.Round;
-import ironwind.standin.Loop;
+import ironwind.lab.LoadGenerator.Round;
+import ironwind.standin.EventLoop;
 import ironwind.standin.StandInDiscovery;
 import ironwind.standin.StandInHost;
 import java.io.IOException;
@@ -25,7 +25,7 @@
  * that ask all the time. The same is done to each text of the program, one after another in one
  * run.
  */
-public final class IdleTrial {
+public final class IdleBenchmark {
     private static final int HOSTS = 3;
     private static final long WORK_NANOS = 2_000_000;
     private static final int ACTIVE_CONNECTIONS = 60;
@@ -61,7 +61,7 @@
             int heapMb,
             Path hcl) {}
 
-    public IdleTrial(Plan plan, PrintStream out) {
+    public IdleBenchmark(Plan plan, PrintStream out) {
         this.plan = plan;
         this.out = out;
     }
@@ -91,8 +91,8 @@
             throws IOException, InterruptedException {
         Path folder = Files.createTempDirectory("ironwind-idle");
         List<RouterProcess> routers = new ArrayList<>();
-        List<CrowdProcess> crowds = new ArrayList<>();
-        try (Loop loop = new Loop("hosts")) {
+        List<ClientWorkerProcess> crowds = new ArrayList<>();
+        try (EventLoop loop = new EventLoop("hosts")) {
             List<StandInHost> hosts = new ArrayList<>();
             for (int i = 0; i < HOSTS; i++) {
                 hosts.add(new StandInHost(loop, i == 0, WORK_NANOS));
@@ -111,8 +111,8 @@
                 }
                 List<InetSocketAddress> addresses =
                         routers.stream().map(router -> router.address).toList();
-                try (ActiveLoad active =
-                        new ActiveLoad(addresses, ACTIVE_CONNECTIONS, plan.perSecond())) {
+                try (LoadGenerator active =
+                        new LoadGenerator(addresses, ACTIVE_CONNECTIONS, plan.perSecond())) {
                     active.play(Math.max(2, plan.seconds() / 2));
                     sizes(name, routers, crowds, addresses, active, all);
                     if (plan.wakeMs() > 0) {
@@ -136,7 +136,7 @@
                                 .put("seconds", slowest));
             }
         } finally {
-            crowds.forEach(CrowdProcess::close);
+            crowds.forEach(ClientWorkerProcess::close);
             routers.forEach(RouterProcess::close);
         }
     }
@@ -147,9 +147,9 @@
     private void sizes(
             String name,
             List<RouterProcess> routers,
-            List<CrowdProcess> crowds,
+            List<ClientWorkerProcess> crowds,
             List<InetSocketAddress> addresses,
-            ActiveLoad active,
+            LoadGenerator active,
             JsonArray all)
             throws IOException, InterruptedException {
         Point empty = null;
@@ -221,19 +221,19 @@
         all.add(new JsonObject().put("text", name).put("what", "classes").put("bytes_each", found));
     }
 
-    private void open(int more, List<CrowdProcess> crowds, List<InetSocketAddress> addresses)
+    private void open(int more, List<ClientWorkerProcess> crowds, List<InetSocketAddress> addresses)
             throws IOException {
         // One crowd at a time, so that each stays under what one process may hold.
         int left = more;
         while (left > 0) {
             int room = crowds.isEmpty() ? 0 : OF_ONE_CROWD - inLast;
             if (room == 0) {
-                crowds.add(new CrowdProcess(crowds.size(), addresses));
+                crowds.add(new ClientWorkerProcess(crowds.size(), addresses));
                 inLast = 0;
                 room = OF_ONE_CROWD;
             }
             int now = Math.min(room, left);
-            CrowdProcess crowd = crowds.get(crowds.size() - 1);
+            ClientWorkerProcess crowd = crowds.get(crowds.size() - 1);
             crowd.order("open " + now);
             Map<String, Long> answer = crowd.answer();
             out.printf(
@@ -246,9 +246,9 @@
 
     private int inLast;
 
-    private long count(List<CrowdProcess> crowds) throws IOException {
+    private long count(List<ClientWorkerProcess> crowds) throws IOException {
         long open = 0;
-        for (CrowdProcess crowd : crowds) {
+        for (ClientWorkerProcess crowd : crowds) {
             crowd.order("count");
             open += crowd.answer().get("open");
         }
@@ -289,13 +289,16 @@
     }
 
     private void wake(
-            String name, List<RouterProcess> routers, List<CrowdProcess> crowds, JsonArray all)
+            String name,
+            List<RouterProcess> routers,
+            List<ClientWorkerProcess> crowds,
+            JsonArray all)
             throws IOException {
-        for (CrowdProcess crowd : crowds) {
+        for (ClientWorkerProcess crowd : crowds) {
             crowd.order("wake " + plan.wakeMs());
         }
         Map<String, Long> sum = new TreeMap<>();
-        for (CrowdProcess crowd : crowds) {
+        for (ClientWorkerProcess crowd : crowds) {
             crowd.answer()
                     .forEach(
                             (key, value) ->
@@ -325,12 +328,12 @@
             String name,
             List<RouterProcess> routers,
             List<InetSocketAddress> addresses,
-            List<CrowdProcess> crowds,
-            ActiveLoad active,
+            List<ClientWorkerProcess> crowds,
+            LoadGenerator active,
             JsonArray all)
             throws IOException, InterruptedException {
         Round before = active.play(plan.seconds());
-        CrowdProcess slow = new CrowdProcess(100, addresses);
+        ClientWorkerProcess slow = new ClientWorkerProcess(100, addresses);
         crowds.add(slow);
         slow.order("slow " + plan.slowReaders() + " 65536");
         slow.answer();
@@ -380,8 +383,8 @@
 
     private static int notOk(Round round) {
         int sum = round.noneFree;
-        for (Map.Entry<LabClient.Answer, Integer> entry : round.answers.entrySet()) {
-            sum += entry.getKey() == LabClient.Answer.OK ? 0 : entry.getValue();
+        for (Map.Entry<AsyncClient.Answer, Integer> entry : round.answers.entrySet()) {
+            sum += entry.getKey() == AsyncClient.Answer.OK ? 0 : entry.getValue();
         }
         return sum;
     }
--- a/lab/src/main/java/ironwind/lab/KeeperTrial.java
+++ b/lab/src/main/java/ironwind/lab/KeeperBenchmark.java
@@ -15,7 +15,7 @@
 import java.util.SplittableRandom;
 
 /** What deciding costs, and what is kept of each connection for it, without any socket. */
-public final class KeeperTrial {
+public final class KeeperBenchmark {
     private static final int ROUNDS = 15;
     private static final int STEPS = 200_000;
     private static final int ADDRESSES = 1_000;
@@ -24,7 +24,7 @@
 
     private final PrintStream out;
 
-    public KeeperTrial(PrintStream out) {
+    public KeeperBenchmark(PrintStream out) {
         this.out = out;
     }
 
--- a/lab/src/main/java/ironwind/lab/ActiveLoad.java
+++ b/lab/src/main/java/ironwind/lab/LoadGenerator.java
@@ -1,7 +1,7 @@
 package ironwind.lab;
 
-import ironwind.lab.LabClient.Answer;
-import ironwind.standin.Loop;
+import ironwind.lab.AsyncClient.Answer;
+import ironwind.standin.EventLoop;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
@@ -16,13 +16,13 @@
  * when its question was due, so that one that had to wait for a free connection is not made to look
  * better.
  */
-final class ActiveLoad implements AutoCloseable {
+final class LoadGenerator implements AutoCloseable {
     private static final long LONGEST_US = 60_000_000;
     private static final long WAITS_MS = 2_000;
     private static final long SECOND = 1_000_000_000L;
 
-    private final Loop loop = new Loop("active");
-    private final List<LabClient> clients = new ArrayList<>();
+    private final EventLoop loop = new EventLoop("active");
+    private final List<AsyncClient> clients = new ArrayList<>();
     private final int perSecond;
     private Round round;
     private int next;
@@ -35,19 +35,19 @@
         int noneFree;
     }
 
-    ActiveLoad(List<InetSocketAddress> routers, int connections, int perSecond)
+    LoadGenerator(List<InetSocketAddress> routers, int connections, int perSecond)
             throws IOException, InterruptedException {
         this.perSecond = perSecond;
         CountDownLatch up = new CountDownLatch(connections);
-        LabClient.Listener listener =
-                new LabClient.Listener() {
+        AsyncClient.Listener listener =
+                new AsyncClient.Listener() {
                     @Override
-                    public void greeted(LabClient client) {
+                    public void greeted(AsyncClient client) {
                         up.countDown();
                     }
 
                     @Override
-                    public void answered(LabClient client, Answer answer, long due) {
+                    public void answered(AsyncClient client, Answer answer, long due) {
                         round.answers.merge(answer, 1, Integer::sum);
                         round.micros.recordValue(
                                 Math.min(LONGEST_US, Math.max(0, System.nanoTime() - due) / 1_000));
@@ -58,7 +58,7 @@
                     for (int i = 0; i < connections; i++) {
                         InetSocketAddress from = new InetSocketAddress("127.8.0.1", 0);
                         clients.add(
-                                LabClient.connect(
+                                AsyncClient.connect(
                                         loop, from, routers.get(i % routers.size()), listener));
                     }
                 });
@@ -95,7 +95,7 @@
 
     private void askOnce(long due) {
         for (int i = 0; i < clients.size(); i++) {
-            LabClient client = clients.get(next++ % clients.size());
+            AsyncClient client = clients.get(next++ % clients.size());
             if (client.isFree()) {
                 client.read("a" + asked++, "k", WAITS_MS, due);
                 return;
--- a/lab/src/main/java/ironwind/lab/SocketTrial.java
+++ b/lab/src/main/java/ironwind/lab/SocketBenchmark.java
@@ -28,13 +28,13 @@
  * Live heap of one accepted connection that is read from, by what stands between the system's
  * socket and its owner.
  */
-public final class SocketTrial {
+public final class SocketBenchmark {
     private static final long SETTLED_MS = 300;
     private static final int WARMING = 100;
 
     private final PrintStream out;
 
-    public SocketTrial(PrintStream out) {
+    public SocketBenchmark(PrintStream out) {
         this.out = out;
     }
 
--- a/lab/src/test/java/ironwind/lab/Talk.java
+++ b/lab/src/test/java/ironwind/lab/BlockingClient.java
@@ -14,7 +14,7 @@
 import java.util.TreeMap;
 
 /** One client that writes and waits, as a test tells it to. */
-final class Talk implements AutoCloseable {
+final class BlockingClient implements AutoCloseable {
     private static final int PATIENCE_MS = 8_000;
 
     final Socket socket = new Socket();
@@ -23,11 +23,11 @@
     /** First and second value of each row of the last answer. */
     final Map<String, String> rows = new TreeMap<>();
 
-    Talk(int port) throws IOException {
+    BlockingClient(int port) throws IOException {
         this(port, "127.0.0.1");
     }
 
-    Talk(int port, String from) throws IOException {
+    BlockingClient(int port, String from) throws IOException {
         socket.setSoTimeout(PATIENCE_MS);
         socket.setTcpNoDelay(true);
         socket.bind(new InetSocketAddress(InetAddress.getByName(from), 0));
--- a/lab/src/test/java/ironwind/lab/IdleRouterTest.java
+++ b/lab/src/test/java/ironwind/lab/IdleRouterTest.java
@@ -4,11 +4,11 @@
 
 import io.vertx.core.Future;
 import io.vertx.core.json.JsonObject;
-import ironwind.lab.LabClient.Answer;
+import ironwind.lab.AsyncClient.Answer;
 import ironwind.net.Log;
 import ironwind.net.Router;
 import ironwind.pg.Encoder;
-import ironwind.standin.Loop;
+import ironwind.standin.EventLoop;
 import ironwind.standin.StandInDiscovery;
 import ironwind.standin.StandInHost;
 import ironwind.start.Installation;
@@ -53,7 +53,7 @@
 
     @TempDir private Path folder;
     private final List<AutoCloseable> opened = new ArrayList<>();
-    private Loop loop;
+    private EventLoop loop;
     private StandInHost primary;
     private StandInDiscovery discovery;
     private Router router;
@@ -61,7 +61,7 @@
 
     @BeforeEach
     void startHosts() throws IOException {
-        loop = new Loop("stand-ins");
+        loop = new EventLoop("stand-ins");
         primary = new StandInHost(loop, true, 2_000_000).recording();
         discovery = new StandInDiscovery(List.of(primary, new StandInHost(loop, false, 2_000_000)));
     }
@@ -108,26 +108,26 @@
                                 new Log(new PrintStream(PrintStream.nullOutputStream())))
                         .unrehearsed();
         router.start().await(10, TimeUnit.SECONDS);
-        Talk first = talk();
+        BlockingClient first = talk();
         first.greet();
         first.send(Encoder.query(""));
         assertThat(first.answer()).isEqualTo("ready");
         first.close();
     }
 
-    private Talk talk() throws IOException {
+    private BlockingClient talk() throws IOException {
         return talk("127.0.0.1");
     }
 
-    private Talk talk(String from) throws IOException {
-        Talk talk = new Talk(router.port(), from);
+    private BlockingClient talk(String from) throws IOException {
+        BlockingClient talk = new BlockingClient(router.port(), from);
         opened.add(talk);
         return talk;
     }
 
     /** One that has been served. */
-    private Talk known() throws IOException {
-        Talk talk = talk();
+    private BlockingClient known() throws IOException {
+        BlockingClient talk = talk();
         assertThat(talk.greet()).isEqualTo("ready");
         assertThat(talk.read("known-" + asked++)).isEqualTo("ok");
         return talk;
@@ -141,19 +141,19 @@
     }
 
     /** Many connections that a loop of their own holds; each has been served once. */
-    private List<LabClient> crowd(int count, Map<Answer, Integer> answers, CountDownLatch answered)
-            throws Exception {
+    private List<AsyncClient> crowd(
+            int count, Map<Answer, Integer> answers, CountDownLatch answered) throws Exception {
         CountDownLatch up = new CountDownLatch(count);
-        List<LabClient> clients = new ArrayList<>();
-        LabClient.Listener listener =
-                new LabClient.Listener() {
+        List<AsyncClient> clients = new ArrayList<>();
+        AsyncClient.Listener listener =
+                new AsyncClient.Listener() {
                     @Override
-                    public void greeted(LabClient client) {
+                    public void greeted(AsyncClient client) {
                         client.read("up-" + asked++, "k", 8_000, 0);
                     }
 
                     @Override
-                    public void answered(LabClient client, Answer answer, long at) {
+                    public void answered(AsyncClient client, Answer answer, long at) {
                         if (up.getCount() > 0) {
                             up.countDown();
                         } else {
@@ -166,7 +166,7 @@
                 () -> {
                     for (int i = 0; i < count; i++) {
                         clients.add(
-                                LabClient.connect(
+                                AsyncClient.connect(
                                         loop,
                                         null,
                                         new InetSocketAddress("127.0.0.1", router.port()),
@@ -193,9 +193,9 @@
         int count = 1_000;
         Map<Answer, Integer> answers = new EnumMap<>(Answer.class);
         CountDownLatch answered = new CountDownLatch(count);
-        List<LabClient> crowd = crowd(count, answers, answered);
+        List<AsyncClient> crowd = crowd(count, answers, answered);
         Thread.sleep(150);
-        Talk active = known();
+        BlockingClient active = known();
         loop.post(() -> crowd.forEach(client -> client.read("wake-" + asked++, "k", 8_000, 0)));
         while (answered.getCount() > 0) {
             assertThat(active.read("active-" + asked++)).isEqualTo("ok");
@@ -217,9 +217,9 @@
     @Test
     void slowReadersAreEndedAndOthersServed() throws Exception {
         begin("owed_all = \"2MiB\"\nowed_each = \"128KiB\"\nslow_reader_time = \"300ms\"");
-        Talk other = known();
+        BlockingClient other = known();
         int count = 60;
-        List<LabClient> slow = crowd(count, new EnumMap<>(Answer.class), new CountDownLatch(1));
+        List<AsyncClient> slow = crowd(count, new EnumMap<>(Answer.class), new CountDownLatch(1));
         loop.post(
                 () ->
                         slow.forEach(
@@ -245,8 +245,8 @@
     @Test
     void aHalfWrittenAnswerIsSeenToBeIncomplete() throws Exception {
         begin("owed_all = \"2MiB\"\nowed_each = \"128KiB\"\nslow_reader_time = \"300ms\"");
-        Talk other = known();
-        Talk slow = talk();
+        BlockingClient other = known();
+        BlockingClient slow = talk();
         slow.greet();
         int asks = 400;
         for (int i = 0; i < asks; i++) {
@@ -272,7 +272,7 @@
     @Test
     void aStormMeetsAFullHouse() throws Exception {
         begin("connections = 20\nmessage_time = \"20s\"");
-        List<Talk> busy = new ArrayList<>();
+        List<BlockingClient> busy = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
             busy.add(known());
         }
@@ -281,11 +281,11 @@
             busy.get(i).send(Arrays.copyOf(write("w" + i), 20));
         }
         Thread.sleep(50);
-        List<Talk> storm = new ArrayList<>();
+        List<BlockingClient> storm = new ArrayList<>();
         for (int i = 0; i < 300; i++) {
             storm.add(talk());
         }
-        for (Talk talk : storm) {
+        for (BlockingClient talk : storm) {
             assertThat(talk.answer()).isEqualTo("E53300 250 closed");
         }
         for (int i = 0; i < 20; i++) {
@@ -294,7 +294,7 @@
             assertThat(busy.get(i).answer()).isEqualTo("ok");
         }
         assertThat(busy.get(0).shown("idle", "ended_all_busy")).isEqualTo(300);
-        Talk late = known();
+        BlockingClient late = known();
         assertThat(late.shown("idle", "ended_gave_way")).isEqualTo(1);
         assertThat(primary.ran()).hasSize(20).doesNotContainValue(2);
     }
@@ -306,10 +306,10 @@
     @Test
     void whoWakesAsItIsToGiveWayIsServed() throws Exception {
         begin("connections = 1");
-        Talk inside = known();
+        BlockingClient inside = known();
         for (int i = 0; i < 25; i++) {
             inside.send(write("last-" + i));
-            Talk next = talk();
+            BlockingClient next = talk();
             assertThat(inside.answer()).isEqualTo("ok");
             String greeting = next.greet();
             if (greeting.equals("ready")) {
@@ -327,8 +327,8 @@
     void whenAskedToEndTheIdleGoAndTheBusyAreAnswered() throws Exception {
         begin("");
         crowd(600, new EnumMap<>(Answer.class), new CountDownLatch(1));
-        Talk asking = known();
-        Talk idle = known();
+        BlockingClient asking = known();
+        BlockingClient idle = known();
         Future<Void> drained = router.drain();
         int served = 0;
         String answer = asking.read("drain-0");
@@ -352,12 +352,12 @@
         begin(
                 "memory = \"256KiB\"\nowed_all = \"64KiB\"\nowed_each = \"64KiB\"\n"
                         + "message_time = \"20s\"");
-        Talk other = known();
-        List<Talk> begun = new ArrayList<>();
+        BlockingClient other = known();
+        List<BlockingClient> begun = new ArrayList<>();
         byte[] head = Arrays.copyOf(Encoder.query("x".repeat(130_000)), 60_000);
         int refused = 0;
         for (int i = 0; i < 6; i++) {
-            Talk talk = talk();
+            BlockingClient talk = talk();
             talk.greet();
             begun.add(talk);
             talk.send(head);
@@ -368,7 +368,7 @@
                 // told below
             }
         }
-        for (Talk talk : begun) {
+        for (BlockingClient talk : begun) {
             talk.socket.setSoTimeout(400);
             try {
                 assertThat(talk.answer()).isEqualTo("E53200 closed");
@@ -399,14 +399,14 @@
     @Test
     void anAddressAndACustomerHaveTheirShare() throws Exception {
         begin("per_address = 3\nper_customer = 2");
-        List<Talk> near = new ArrayList<>();
+        List<BlockingClient> near = new ArrayList<>();
         for (int i = 0; i < 3; i++) {
-            Talk talk = talk("127.0.0.9");
+            BlockingClient talk = talk("127.0.0.9");
             assertThat(talk.greet()).isEqualTo("ready");
             near.add(talk);
         }
         assertThat(talk("127.0.0.9").answer()).isEqualTo("E53300 250 closed");
-        Talk far = talk("127.0.0.10");
+        BlockingClient far = talk("127.0.0.10");
         assertThat(far.greet()).isEqualTo("ready");
         for (int i = 0; i < 3; i++) {
             near.get(i).ask("c" + i, "read", "two", "k");
@@ -422,11 +422,11 @@
     void theDoorKeepsItsRateAndWhatWaitsComesIn() throws Exception {
         begin("connections = 100000\nnew_per_second = 100\nnew_at_once = 1");
         long begun = System.nanoTime();
-        List<Talk> all = new ArrayList<>();
+        List<BlockingClient> all = new ArrayList<>();
         for (int i = 0; i < 40; i++) {
             all.add(talk());
         }
-        for (Talk talk : all) {
+        for (BlockingClient talk : all) {
             assertThat(talk.greet()).isEqualTo("ready");
         }
         assertThat(System.nanoTime() - begun).isGreaterThan(TimeUnit.MILLISECONDS.toNanos(380));
@@ -448,8 +448,8 @@
     void whatStandsStillIsEnded(int startup, int request, String answer, String reason)
             throws Exception {
         begin("startup_time = \"200ms\"\nmessage_time = \"200ms\"\ngreeted_time = \"200ms\"");
-        Talk known = known();
-        Talk slow = talk();
+        BlockingClient known = known();
+        BlockingClient slow = talk();
         byte[] hello = Encoder.startup("client", "core");
         slow.send(Arrays.copyOf(hello, Math.min(startup, hello.length)));
         if (startup > hello.length) {
--- a/standin/src/main/java/ironwind/standin/Link.java
+++ b/standin/src/main/java/ironwind/standin/Connection.java
@@ -7,10 +7,10 @@
 import java.util.ArrayDeque;
 import java.util.Deque;
 
-/** One connection of a {@link Loop}. */
-public final class Link {
-    private final Loop loop;
-    private final Loop.Handler handler;
+/** One connection of a {@link EventLoop}. */
+public final class Connection {
+    private final EventLoop loop;
+    private final EventLoop.Handler handler;
     SocketChannel channel;
     SelectionKey key;
     private Deque<ByteBuffer> left;
@@ -18,7 +18,7 @@
     private boolean up;
     private boolean deaf;
 
-    Link(Loop loop, Loop.Handler handler) {
+    Connection(EventLoop loop, EventLoop.Handler handler) {
         this.loop = loop;
         this.handler = handler;
     }
@@ -27,7 +27,7 @@
         return up && !closed;
     }
 
-    public Loop loop() {
+    public EventLoop loop() {
         return loop;
     }
 
--- a/standin/src/main/java/ironwind/standin/Loop.java
+++ b/standin/src/main/java/ironwind/standin/EventLoop.java
@@ -17,7 +17,7 @@
  * One thread with a selector: listens, connects, and runs what is due. All calls but {@link #post}
  * are its own.
  */
-public final class Loop implements AutoCloseable {
+public final class EventLoop implements AutoCloseable {
     private static final int BUFFER_BYTES = 128 * 1024;
     private static final int QUEUE = 16_384;
     private static final int ACCEPTED_AT_ONCE = 64;
@@ -35,12 +35,12 @@
     /** What one connection's owner hears. */
     public interface Handler {
         /** It is up. */
-        default void opened(Link link) {}
+        default void opened(Connection link) {}
 
-        void received(Link link, byte[] bytes);
+        void received(Connection link, byte[] bytes);
 
         /** It has ended, or never came up; not told where the owner closed it. */
-        default void closed(Link link) {}
+        default void closed(Connection link) {}
     }
 
     private record Due(long nanos, long order, Runnable action) implements Comparable<Due> {
@@ -52,7 +52,7 @@
         }
     }
 
-    public Loop(String name) throws IOException {
+    public EventLoop(String name) throws IOException {
         selector = Selector.open();
         thread = new Thread(this::run, name);
         thread.setDaemon(true);
@@ -82,14 +82,14 @@
     }
 
     /** Connects from an address of this machine; null leaves that to the system. */
-    public Link connect(InetSocketAddress from, InetSocketAddress to, Handler handler) {
+    public Connection connect(InetSocketAddress from, InetSocketAddress to, Handler handler) {
         return connect(from, to, handler, 0);
     }
 
     /** The same, with so many bytes for what is not read yet; 0 leaves that to the system. */
-    public Link connect(
+    public Connection connect(
             InetSocketAddress from, InetSocketAddress to, Handler handler, int receiveBuffer) {
-        Link link = new Link(this, handler);
+        Connection link = new Connection(this, handler);
         try {
             link.channel = SocketChannel.open();
             link.channel.configureBlocking(false);
@@ -154,7 +154,7 @@
     private void ready(SelectionKey key) {
         if (!key.isValid()) {
             return;
-        } else if (key.attachment() instanceof Link link) {
+        } else if (key.attachment() instanceof Connection link) {
             link.ready(key, buffer);
         } else if (key.attachment() instanceof Supplier<?> handlers) {
             accept((ServerSocketChannel) key.channel(), handlers);
@@ -168,7 +168,7 @@
                 if (channel == null) {
                     return;
                 }
-                Link link = new Link(this, (Handler) handlers.get());
+                Connection link = new Connection(this, (Handler) handlers.get());
                 link.channel = channel;
                 channel.configureBlocking(false);
                 channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
--- a/standin/src/main/java/ironwind/standin/StandInHost.java
+++ b/standin/src/main/java/ironwind/standin/StandInHost.java
@@ -28,10 +28,10 @@
     private boolean records;
 
     /** Listens on loopback. */
-    public StandInHost(Loop loop, boolean primary, long workNanos) throws IOException {
+    public StandInHost(EventLoop loop, boolean primary, long workNanos) throws IOException {
         this.primary = primary;
         this.workNanos = workNanos;
-        this.address = loop.listen(new InetSocketAddress("127.0.0.1", 0), Connection::new);
+        this.address = loop.listen(new InetSocketAddress("127.0.0.1", 0), ConnectionHandler::new);
     }
 
     /** From now on it keeps how often each id ran. */
@@ -62,11 +62,11 @@
                 : USUAL_BYTES;
     }
 
-    private final class Connection implements Loop.Handler {
+    private final class ConnectionHandler implements EventLoop.Handler {
         private final Frames frames = new Frames(true, ClientMessage.TYPES, Pg.LARGEST_MESSAGE);
 
         @Override
-        public void received(Link link, byte[] bytes) {
+        public void received(Connection link, byte[] bytes) {
             frames.add(bytes);
             for (Frame frame = frames.next(); frame != null; frame = frames.next()) {
                 ClientMessage message = ClientMessage.decode(frame);
@@ -83,7 +83,7 @@
             }
         }
 
-        private void answer(Link link, Statement statement) {
+        private void answer(Connection link, Statement statement) {
             if (statement.text().isEmpty()) {
                 link.write(Encoder.emptyQuery());
                 return;
