--- a/lab/src/main/java/ironwind/lab/AsyncClient.java
+++ b/lab/src/main/java/ironwind/lab/AsyncClient.java
@@ -35,7 +35,7 @@
     }
 
     private Listener listener;
-    private Connection link;
+    private Connection connection;
     private Frames frames;
     private boolean greeted;
     private boolean row;
@@ -58,7 +58,7 @@
             Listener listener,
             int receiveBuffer) {
         AsyncClient client = new AsyncClient(listener);
-        client.link = loop.connect(from, to, client, receiveBuffer);
+        client.connection = loop.connect(from, to, client, receiveBuffer);
         return client;
     }
 
@@ -68,11 +68,11 @@
     }
 
     boolean isFree() {
-        return greeted && asked < 0 && link.isOpen();
+        return greeted && asked < 0 && connection.isOpen();
     }
 
     boolean isOpen() {
-        return link != null && link.isOpen();
+        return connection != null && connection.isOpen();
     }
 
     /** Sends a read; {@code at} is kept for the answer. */
@@ -80,7 +80,7 @@
         asked = at;
         row = false;
         answer = null;
-        link.write(
+        connection.write(
                 Encoder.query(
                         "/* id="
                                 + id
@@ -94,7 +94,7 @@
 
     /** Sends many, and reads nothing. */
     void readDeaf(String id, String key, long waitsMs, int times) {
-        link.deaf(true);
+        connection.setReadingPaused(true);
         for (int i = 0; i < times; i++) {
             read(id + "-" + i, key, waitsMs, System.nanoTime());
         }
@@ -102,8 +102,8 @@
 
     @Override
     public void opened(Connection up) {
-        link = up;
-        link.write(Encoder.startup("client", "core"));
+        connection = up;
+        connection.write(Encoder.startup("client", "core"));
     }
 
     @Override
--- a/lab/src/main/java/ironwind/lab/ClientWorker.java
+++ b/lab/src/main/java/ironwind/lab/ClientWorker.java
@@ -118,7 +118,7 @@
                         }
                     }
                 };
-        loop.post(
+        loop.execute(
                 () -> {
                     for (int i = 0; i < AT_ONCE && left[0] > 0; i++) {
                         left[0]--;
@@ -153,7 +153,7 @@
                     answers.merge(answer, 1, Integer::sum);
                     done[0].countDown();
                 };
-        loop.post(
+        loop.execute(
                 () -> {
                     List<AsyncClient> awake = clients.stream().filter(AsyncClient::isFree).toList();
                     done[0] = new CountDownLatch(awake.size());
@@ -173,13 +173,13 @@
     private String slow(int more, String bytes) throws InterruptedException {
         String line = open(more, false);
         CountDownLatch posted = new CountDownLatch(1);
-        loop.post(
+        loop.execute(
                 () -> {
                     long now = System.nanoTime();
                     for (AsyncClient client :
                             clients.subList(clients.size() - more, clients.size())) {
                         now += SECOND / SLOW_PER_SECOND;
-                        loop.at(
+                        loop.schedule(
                                 now,
                                 () -> {
                                     if (client.isFree()) {
@@ -197,7 +197,7 @@
     private String count() throws InterruptedException {
         CountDownLatch counted = new CountDownLatch(1);
         long[] open = {0};
-        loop.post(
+        loop.execute(
                 () -> {
                     open[0] = clients.stream().filter(AsyncClient::isOpen).count();
                     counted.countDown();
--- a/lab/src/main/java/ironwind/lab/LoadGenerator.java
+++ b/lab/src/main/java/ironwind/lab/LoadGenerator.java
@@ -53,7 +53,7 @@
                                 Math.min(LONGEST_US, Math.max(0, System.nanoTime() - due) / 1_000));
                     }
                 };
-        loop.post(
+        loop.execute(
                 () -> {
                     for (int i = 0; i < connections; i++) {
                         InetSocketAddress from = new InetSocketAddress("127.8.0.1", 0);
@@ -69,7 +69,7 @@
     Round play(double seconds) throws InterruptedException {
         Round now = new Round();
         CountDownLatch over = new CountDownLatch(1);
-        loop.post(
+        loop.execute(
                 () -> {
                     round = now;
                     long begin = System.nanoTime();
@@ -87,9 +87,9 @@
         }
         long further = at;
         if (at < all) {
-            loop.at(begin + at * SECOND / perSecond, () -> ask(begin, further, all, over));
+            loop.schedule(begin + at * SECOND / perSecond, () -> ask(begin, further, all, over));
         } else {
-            loop.at(System.nanoTime() + SECOND, over::countDown);
+            loop.schedule(System.nanoTime() + SECOND, over::countDown);
         }
     }
 
--- a/lab/src/test/java/ironwind/lab/IdleRouterTest.java
+++ b/lab/src/test/java/ironwind/lab/IdleRouterTest.java
@@ -62,7 +62,7 @@
     @BeforeEach
     void startHosts() throws IOException {
         loop = new EventLoop("stand-ins");
-        primary = new StandInHost(loop, true, 2_000_000).recording();
+        primary = new StandInHost(loop, true, 2_000_000).recordExecutions();
         discovery = new StandInDiscovery(List.of(primary, new StandInHost(loop, false, 2_000_000)));
     }
 
@@ -162,7 +162,7 @@
                         }
                     }
                 };
-        loop.post(
+        loop.execute(
                 () -> {
                     for (int i = 0; i < count; i++) {
                         clients.add(
@@ -196,7 +196,7 @@
         List<AsyncClient> crowd = crowd(count, answers, answered);
         Thread.sleep(150);
         BlockingClient active = known();
-        loop.post(() -> crowd.forEach(client -> client.read("wake-" + asked++, "k", 8_000, 0)));
+        loop.execute(() -> crowd.forEach(client -> client.read("wake-" + asked++, "k", 8_000, 0)));
         while (answered.getCount() > 0) {
             assertThat(active.read("active-" + asked++)).isEqualTo("ok");
         }
@@ -220,7 +220,7 @@
         BlockingClient other = known();
         int count = 60;
         List<AsyncClient> slow = crowd(count, new EnumMap<>(Answer.class), new CountDownLatch(1));
-        loop.post(
+        loop.execute(
                 () ->
                         slow.forEach(
                                 client ->
@@ -296,7 +296,7 @@
         assertThat(busy.get(0).shown("idle", "ended_all_busy")).isEqualTo(300);
         BlockingClient late = known();
         assertThat(late.shown("idle", "ended_gave_way")).isEqualTo(1);
-        assertThat(primary.ran()).hasSize(20).doesNotContainValue(2);
+        assertThat(primary.executionCounts()).hasSize(20).doesNotContainValue(2);
     }
 
     /**
@@ -320,7 +320,7 @@
                 next.close();
             }
         }
-        assertThat(primary.ran()).hasSize(25).doesNotContainValue(2);
+        assertThat(primary.executionCounts()).hasSize(25).doesNotContainValue(2);
     }
 
     @Test
--- a/standin/src/main/java/ironwind/standin/Connection.java
+++ b/standin/src/main/java/ironwind/standin/Connection.java
@@ -7,111 +7,118 @@
 import java.util.ArrayDeque;
 import java.util.Deque;
 
-/** One connection of a {@link EventLoop}. */
+/** A TCP connection of an {@link EventLoop}. All methods must be called on the loop's thread. */
 public final class Connection {
     private final EventLoop loop;
     private final EventLoop.Handler handler;
     SocketChannel channel;
     SelectionKey key;
-    private Deque<ByteBuffer> left;
+    private Deque<ByteBuffer> pendingWrites;
     private boolean closed;
-    private boolean up;
-    private boolean deaf;
+    private boolean connected;
+    private boolean readingPaused;
 
     Connection(EventLoop loop, EventLoop.Handler handler) {
         this.loop = loop;
         this.handler = handler;
     }
 
+    /** Whether the connection is established and has not been closed. */
     public boolean isOpen() {
-        return up && !closed;
+        return connected && !closed;
     }
 
+    /** Returns the event loop that serves this connection. */
     public EventLoop loop() {
         return loop;
     }
 
     void opened() {
-        up = true;
+        connected = true;
         handler.opened(this);
     }
 
-    void ready(SelectionKey ready, ByteBuffer buffer) {
+    void handleEvents(SelectionKey selected, ByteBuffer readBuffer) {
         try {
-            if (ready.isConnectable()) {
+            if (selected.isConnectable()) {
                 channel.finishConnect();
-                want();
+                updateInterest();
                 opened();
             }
-            if (!closed && ready.isValid() && ready.isWritable()) {
+            if (!closed && selected.isValid() && selected.isWritable()) {
                 flush();
             }
-            if (!closed && ready.isValid() && ready.isReadable()) {
-                int count = channel.read(buffer.clear());
+            if (!closed && selected.isValid() && selected.isReadable()) {
+                int count = channel.read(readBuffer.clear());
                 if (count < 0) {
-                    fail();
+                    closeAndNotify();
                 } else if (count > 0) {
                     byte[] bytes = new byte[count];
-                    buffer.flip().get(bytes);
+                    readBuffer.flip().get(bytes);
                     handler.received(this, bytes);
                 }
             }
         } catch (IOException e) {
-            fail();
+            closeAndNotify();
         }
     }
 
-    /** Sends; what the system does not take waits, without bound. */
+    /**
+     * Writes the given parts in order. Bytes that the socket does not accept are queued without
+     * limit. Does nothing once the connection is closed.
+     */
     public void write(byte[]... parts) {
         if (closed) {
             return;
         }
-        left = left == null ? new ArrayDeque<>() : left;
+        pendingWrites = pendingWrites == null ? new ArrayDeque<>() : pendingWrites;
         for (byte[] part : parts) {
-            left.add(ByteBuffer.wrap(part));
+            pendingWrites.add(ByteBuffer.wrap(part));
         }
         try {
             flush();
         } catch (IOException e) {
-            fail();
+            closeAndNotify();
         }
     }
 
     private void flush() throws IOException {
-        while (left != null) {
-            if (left.isEmpty()) {
-                left = null;
+        while (pendingWrites != null) {
+            if (pendingWrites.isEmpty()) {
+                pendingWrites = null;
             } else {
-                channel.write(left.peek());
-                if (left.peek().hasRemaining()) {
+                channel.write(pendingWrites.peek());
+                if (pendingWrites.peek().hasRemaining()) {
                     break;
                 }
-                left.poll();
+                pendingWrites.poll();
             }
         }
-        want();
+        updateInterest();
     }
 
-    /** Reads no more, or again. */
-    public void deaf(boolean stops) {
-        deaf = stops;
-        want();
+    /** Pauses or resumes reading from the socket. */
+    public void setReadingPaused(boolean paused) {
+        readingPaused = paused;
+        updateInterest();
     }
 
-    private void want() {
+    private void updateInterest() {
         if (!closed && key.isValid()) {
             key.interestOps(
-                    (deaf ? 0 : SelectionKey.OP_READ) | (left == null ? 0 : SelectionKey.OP_WRITE));
+                    (readingPaused ? 0 : SelectionKey.OP_READ)
+                            | (pendingWrites == null ? 0 : SelectionKey.OP_WRITE));
         }
     }
 
-    void fail() {
+    void closeAndNotify() {
         if (!closed) {
             close();
             handler.closed(this);
         }
     }
 
+    /** Closes the connection without notifying its handler. */
     public void close() {
         closed = true;
         try {
@@ -119,7 +126,7 @@
                 channel.close();
             }
         } catch (IOException e) {
-            // gone all the same
+            // The channel counts as closed even if closing it fails.
         }
     }
 }
--- a/standin/src/main/java/ironwind/standin/EventLoop.java
+++ b/standin/src/main/java/ironwind/standin/EventLoop.java
@@ -14,44 +14,51 @@
 import java.util.function.Supplier;
 
 /**
- * One thread with a selector: listens, connects, and runs what is due. All calls but {@link #post}
- * are its own.
+ * A single-threaded event loop over a selector: accepts and opens connections and runs scheduled
+ * tasks. Only {@link #execute}, {@link #listen} and {@link #close} may be called from other
+ * threads.
  */
 public final class EventLoop implements AutoCloseable {
     private static final int BUFFER_BYTES = 128 * 1024;
-    private static final int QUEUE = 16_384;
-    private static final int ACCEPTED_AT_ONCE = 64;
-    private static final long LONGEST_WAIT_MS = 100;
-    private static final long MILLION = 1_000_000;
+    private static final int ACCEPT_BACKLOG = 16_384;
+    private static final int MAX_ACCEPTS_PER_EVENT = 64;
+    private static final long MAX_SELECT_MS = 100;
+    private static final long NANOS_PER_MILLI = 1_000_000;
 
     private final Selector selector;
-    private final Queue<Runnable> posted = new ConcurrentLinkedQueue<>();
-    private final PriorityQueue<Due> due = new PriorityQueue<>();
-    private final ByteBuffer buffer = ByteBuffer.allocateDirect(BUFFER_BYTES);
+    private final Queue<Runnable> pendingTasks = new ConcurrentLinkedQueue<>();
+    private final PriorityQueue<ScheduledTask> scheduledTasks = new PriorityQueue<>();
+    private final ByteBuffer readBuffer = ByteBuffer.allocateDirect(BUFFER_BYTES);
     private final Thread thread;
-    private long order;
-    private volatile boolean over;
+    private long sequence;
+    private volatile boolean stopped;
 
-    /** What one connection's owner hears. */
+    /** Receives the events of one connection, on the loop's thread. */
     public interface Handler {
-        /** It is up. */
-        default void opened(Connection link) {}
+        /** The connection is established. */
+        default void opened(Connection connection) {}
 
-        void received(Connection link, byte[] bytes);
+        /** Bytes arrived; the loop does not reuse the array. */
+        void received(Connection connection, byte[] bytes);
 
-        /** It has ended, or never came up; not told where the owner closed it. */
-        default void closed(Connection link) {}
+        /**
+         * The connection was closed by the peer, failed, or could not be established. Not called
+         * after {@link Connection#close}.
+         */
+        default void closed(Connection connection) {}
     }
 
-    private record Due(long nanos, long order, Runnable action) implements Comparable<Due> {
+    private record ScheduledTask(long nanos, long sequence, Runnable task)
+            implements Comparable<ScheduledTask> {
         @Override
-        public int compareTo(Due other) {
+        public int compareTo(ScheduledTask other) {
             return nanos != other.nanos
                     ? Long.compare(nanos, other.nanos)
-                    : Long.compare(order, other.order);
+                    : Long.compare(sequence, other.sequence);
         }
     }
 
+    /** Starts the loop on a daemon thread of the given name. */
     public EventLoop(String name) throws IOException {
         selector = Selector.open();
         thread = new Thread(this::run, name);
@@ -59,58 +66,74 @@
         thread.start();
     }
 
-    /** Runs an action on the loop, soon; from any thread. */
-    public void post(Runnable action) {
-        posted.add(action);
+    /** Runs a task on the loop's thread as soon as possible. May be called from any thread. */
+    public void execute(Runnable task) {
+        pendingTasks.add(task);
         selector.wakeup();
     }
 
-    /** Runs an action once this {@link System#nanoTime} is reached. */
-    public void at(long nanos, Runnable action) {
-        due.add(new Due(nanos, order++, action));
+    /** Runs a task once {@link System#nanoTime} has reached {@code nanos}. */
+    public void schedule(long nanos, Runnable task) {
+        scheduledTasks.add(new ScheduledTask(nanos, sequence++, task));
     }
 
-    /** Listens; port 0 takes any. Returns the address. From any thread. */
-    public InetSocketAddress listen(InetSocketAddress at, Supplier<Handler> handlers)
+    /**
+     * Listens on an address and returns the one that was bound; port 0 selects a free port. May be
+     * called from any thread.
+     *
+     * @param handlers supplies the handler of each accepted connection
+     */
+    public InetSocketAddress listen(InetSocketAddress address, Supplier<Handler> handlers)
             throws IOException {
         ServerSocketChannel channel = ServerSocketChannel.open();
         channel.configureBlocking(false);
         channel.setOption(StandardSocketOptions.SO_REUSEADDR, true);
-        channel.bind(at, QUEUE);
-        post(() -> register(channel, SelectionKey.OP_ACCEPT, handlers));
+        channel.bind(address, ACCEPT_BACKLOG);
+        execute(() -> register(channel, SelectionKey.OP_ACCEPT, handlers));
         return (InetSocketAddress) channel.getLocalAddress();
     }
 
-    /** Connects from an address of this machine; null leaves that to the system. */
+    /**
+     * Opens a connection. A failure to connect is reported to {@link Handler#closed}.
+     *
+     * @param from local address to bind; null lets the system choose
+     */
     public Connection connect(InetSocketAddress from, InetSocketAddress to, Handler handler) {
         return connect(from, to, handler, 0);
     }
 
-    /** The same, with so many bytes for what is not read yet; 0 leaves that to the system. */
+    /**
+     * Opens a connection with a given socket receive buffer.
+     *
+     * @param from local address to bind; null lets the system choose
+     * @param receiveBuffer SO_RCVBUF in bytes; 0 keeps the system's default
+     */
     public Connection connect(
             InetSocketAddress from, InetSocketAddress to, Handler handler, int receiveBuffer) {
-        Connection link = new Connection(this, handler);
+        Connection connection = new Connection(this, handler);
         try {
-            link.channel = SocketChannel.open();
-            link.channel.configureBlocking(false);
-            link.channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
+            connection.channel = SocketChannel.open();
+            connection.channel.configureBlocking(false);
+            connection.channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
             if (receiveBuffer > 0) {
-                link.channel.setOption(StandardSocketOptions.SO_RCVBUF, receiveBuffer);
+                connection.channel.setOption(StandardSocketOptions.SO_RCVBUF, receiveBuffer);
             }
             if (from != null) {
-                link.channel.bind(from);
+                connection.channel.bind(from);
             }
-            boolean up = link.channel.connect(to);
-            link.key =
-                    link.channel.register(
-                            selector, up ? SelectionKey.OP_READ : SelectionKey.OP_CONNECT, link);
-            if (up) {
-                handler.opened(link);
+            boolean connected = connection.channel.connect(to);
+            connection.key =
+                    connection.channel.register(
+                            selector,
+                            connected ? SelectionKey.OP_READ : SelectionKey.OP_CONNECT,
+                            connection);
+            if (connected) {
+                handler.opened(connection);
             }
         } catch (IOException e) {
-            link.fail();
+            connection.closeAndNotify();
         }
-        return link;
+        return connection;
     }
 
     private void register(ServerSocketChannel channel, int ops, Object attachment) {
@@ -123,23 +146,27 @@
 
     private void run() {
         try {
-            while (!over) {
+            while (!stopped) {
                 long wait =
-                        due.isEmpty()
-                                ? LONGEST_WAIT_MS
+                        scheduledTasks.isEmpty()
+                                ? MAX_SELECT_MS
                                 : Math.min(
-                                        LONGEST_WAIT_MS,
-                                        (due.peek().nanos - System.nanoTime()) / MILLION);
-                if (wait > 0 && posted.isEmpty()) {
-                    selector.select(this::ready, wait);
+                                        MAX_SELECT_MS,
+                                        (scheduledTasks.peek().nanos - System.nanoTime())
+                                                / NANOS_PER_MILLI);
+                if (wait > 0 && pendingTasks.isEmpty()) {
+                    selector.select(this::dispatch, wait);
                 } else {
-                    selector.selectNow(this::ready);
+                    selector.selectNow(this::dispatch);
                 }
-                for (Runnable action = posted.poll(); action != null; action = posted.poll()) {
-                    action.run();
+                for (Runnable task = pendingTasks.poll();
+                        task != null;
+                        task = pendingTasks.poll()) {
+                    task.run();
                 }
-                while (!due.isEmpty() && due.peek().nanos <= System.nanoTime()) {
-                    due.poll().action.run();
+                while (!scheduledTasks.isEmpty()
+                        && scheduledTasks.peek().nanos <= System.nanoTime()) {
+                    scheduledTasks.poll().task.run();
                 }
             }
             for (SelectionKey key : selector.keys()) {
@@ -151,38 +178,39 @@
         }
     }
 
-    private void ready(SelectionKey key) {
+    private void dispatch(SelectionKey key) {
         if (!key.isValid()) {
             return;
-        } else if (key.attachment() instanceof Connection link) {
-            link.ready(key, buffer);
+        } else if (key.attachment() instanceof Connection connection) {
+            connection.handleEvents(key, readBuffer);
         } else if (key.attachment() instanceof Supplier<?> handlers) {
             accept((ServerSocketChannel) key.channel(), handlers);
         }
     }
 
     private void accept(ServerSocketChannel server, Supplier<?> handlers) {
-        for (int i = 0; i < ACCEPTED_AT_ONCE; i++) {
+        for (int i = 0; i < MAX_ACCEPTS_PER_EVENT; i++) {
             try {
                 SocketChannel channel = server.accept();
                 if (channel == null) {
                     return;
                 }
-                Connection link = new Connection(this, (Handler) handlers.get());
-                link.channel = channel;
+                Connection connection = new Connection(this, (Handler) handlers.get());
+                connection.channel = channel;
                 channel.configureBlocking(false);
                 channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
-                link.key = channel.register(selector, SelectionKey.OP_READ, link);
-                link.opened();
+                connection.key = channel.register(selector, SelectionKey.OP_READ, connection);
+                connection.opened();
             } catch (IOException e) {
                 return;
             }
         }
     }
 
+    /** Stops the loop, closes its channels and waits for its thread. */
     @Override
     public void close() throws InterruptedException {
-        over = true;
+        stopped = true;
         selector.wakeup();
         thread.join();
     }
--- a/standin/src/main/java/ironwind/standin/StandInHost.java
+++ b/standin/src/main/java/ironwind/standin/StandInHost.java
@@ -13,85 +13,100 @@
 import java.util.Map;
 
 /**
- * A database host that speaks PostgreSQL's protocol: it answers every statement with a row, after
- * the time that its work takes, and records what it ran. A key such as {@code big-65536} names the
- * size of its value.
+ * A database host that speaks the PostgreSQL protocol. It answers every statement with one row
+ * after a fixed delay and can count executions by request id. A key such as {@code big-65536}
+ * selects the size of the returned value in bytes; any other key returns 64 bytes.
  */
 public final class StandInHost {
-    private static final String BIG = "big-";
-    private static final int USUAL_BYTES = 64;
+    private static final String SIZED_KEY_PREFIX = "big-";
+    private static final int DEFAULT_VALUE_BYTES = 64;
 
     private final boolean primary;
-    private final long workNanos;
+    private final long responseDelayNanos;
     private final InetSocketAddress address;
-    private final Map<String, Integer> ran = new HashMap<>();
-    private boolean records;
+    private final Map<String, Integer> executions = new HashMap<>();
+    private boolean recording;
 
-    /** Listens on loopback. */
-    public StandInHost(EventLoop loop, boolean primary, long workNanos) throws IOException {
+    /**
+     * Starts a host on a free loopback port.
+     *
+     * @param primary whether its answers report the role {@code primary} rather than {@code
+     *     replica}
+     * @param responseDelayNanos delay before each answer
+     */
+    public StandInHost(EventLoop loop, boolean primary, long responseDelayNanos)
+            throws IOException {
         this.primary = primary;
-        this.workNanos = workNanos;
+        this.responseDelayNanos = responseDelayNanos;
         this.address = loop.listen(new InetSocketAddress("127.0.0.1", 0), ConnectionHandler::new);
     }
 
-    /** From now on it keeps how often each id ran. */
-    public StandInHost recording() {
-        records = true;
+    /** Starts counting executions by request id, and returns this host. */
+    public StandInHost recordExecutions() {
+        recording = true;
         return this;
     }
 
+    /** Returns the address that the host listens on. */
     public InetSocketAddress address() {
         return address;
     }
 
-    /** How often each id ran. */
-    public synchronized Map<String, Integer> ran() {
-        return new HashMap<>(ran);
+    /**
+     * Returns a copy of the number of executions by request id; empty without {@link
+     * #recordExecutions}.
+     */
+    public synchronized Map<String, Integer> executionCounts() {
+        return new HashMap<>(executions);
     }
 
     private synchronized void record(Statement statement) {
-        if (records) {
-            ran.merge(statement.facts().getOrDefault("id", ""), 1, Integer::sum);
+        if (recording) {
+            executions.merge(statement.facts().getOrDefault("id", ""), 1, Integer::sum);
         }
     }
 
-    private static int size(Statement statement) {
+    private static int valueBytes(Statement statement) {
         String key = statement.key();
-        return key != null && key.startsWith(BIG)
-                ? Integer.parseInt(key.substring(BIG.length()))
-                : USUAL_BYTES;
+        return key != null && key.startsWith(SIZED_KEY_PREFIX)
+                ? Integer.parseInt(key.substring(SIZED_KEY_PREFIX.length()))
+                : DEFAULT_VALUE_BYTES;
     }
 
     private final class ConnectionHandler implements EventLoop.Handler {
         private final Frames frames = new Frames(true, ClientMessage.TYPES, Pg.LARGEST_MESSAGE);
 
         @Override
-        public void received(Connection link, byte[] bytes) {
+        public void received(Connection connection, byte[] bytes) {
             frames.add(bytes);
             for (Frame frame = frames.next(); frame != null; frame = frames.next()) {
                 ClientMessage message = ClientMessage.decode(frame);
                 if (message instanceof ClientMessage.Startup) {
                     frames.started();
-                    link.write(Encoder.welcome());
+                    connection.write(Encoder.welcome());
                 } else if (message instanceof ClientMessage.Query query) {
                     Statement statement = Statement.parse(query.sql());
-                    link.loop().at(System.nanoTime() + workNanos, () -> answer(link, statement));
+                    connection
+                            .loop()
+                            .schedule(
+                                    System.nanoTime() + responseDelayNanos,
+                                    () -> respond(connection, statement));
                 } else {
-                    link.close();
+                    connection.close();
                     return;
                 }
             }
         }
 
-        private void answer(Connection link, Statement statement) {
+        private void respond(Connection connection, Statement statement) {
             if (statement.text().isEmpty()) {
-                link.write(Encoder.emptyQuery());
+                connection.write(Encoder.emptyQuery());
                 return;
             }
             record(statement);
-            link.write(
+            connection.write(
                     Encoder.row(
-                            Row.ofText("val", "v".repeat(size(statement))),
+                            Row.ofText("val", "v".repeat(valueBytes(statement))),
                             Map.of(
                                     "role",
                                     primary ? "primary" : "replica",
--- a/standin/src/main/java/ironwind/standin/package-info.java
+++ b/standin/src/main/java/ironwind/standin/package-info.java
@@ -1,6 +1,7 @@
 /**
- * Stand-ins of what a router meets: hosts, discovery, and a plain loop of sockets to play them on.
- * Written from the published protocols; nothing of the router's own I/O is used, as a stand-in that
- * shares it would prove nothing.
+ * Stand-ins for the router's environment: database hosts, service discovery, and the event loop
+ * that serves their sockets. They are written from the published protocols and use none of the
+ * router's own I/O code, because a test double that shares code with the router would share its
+ * faults.
  */
 package ironwind.standin;
