--- a/cli/src/main/java/ironwind/cli/LabSockets.java
+++ b/cli/src/main/java/ironwind/cli/LabSockets.java
@@ -19,11 +19,11 @@
     private int connections;
 
     @Option(names = "--way", defaultValue = "vertx", description = "${COMPLETION-CANDIDATES}")
-    private SocketBenchmark.Way way;
+    private SocketBenchmark.Layer layer;
 
     @Override
     public Integer call() throws Exception {
-        new SocketBenchmark(System.out).run(way, connections);
+        new SocketBenchmark(System.out).run(layer, connections);
         return 0;
     }
 }
--- a/lab/src/main/java/ironwind/lab/AsyncClient.java
+++ b/lab/src/main/java/ironwind/lab/AsyncClient.java
@@ -9,38 +9,46 @@
 import java.net.InetSocketAddress;
 
 /**
- * One client's connection: asks, and tells how each question was answered. Silent, it holds next to
- * nothing.
+ * A client connection on an event loop that sends reads and reports the outcome of each. It has at
+ * most one outstanding request, except in {@link #sendReadsPaused}, and allocates a receive buffer
+ * only while a message is incomplete, so that large numbers of idle clients fit into one process.
  */
 final class AsyncClient implements EventLoop.Handler {
-    private static final int LARGEST = 1 << 22;
+    private static final int MAX_MESSAGE_BYTES = 1 << 22;
 
-    /** How a question, or the connection, came out. */
-    enum Answer {
+    /** The outcome of a request. The names are written to the output of the benchmarks. */
+    enum Outcome {
+        /** A row was returned. */
         OK,
+        /** The router refused the request with SQLSTATE 53300 or 57P03. */
         PUSHED_BACK,
+        /** The request failed with another error, or returned no row. */
         ABORTED,
+        /** The connection was closed before a response. */
         CLOSED
     }
 
-    /** Hears of the end of each question; {@code asked} is the time given with it. */
+    /** Receives the outcome of each request. */
     interface Listener {
-        void answered(AsyncClient client, Answer answer, long asked);
+        /** A request completed; {@code startNanos} is the time passed to {@link #sendRead}. */
+        void completed(AsyncClient client, Outcome outcome, long startNanos);
 
-        /** The connection is up and welcomed. */
-        default void greeted(AsyncClient client) {}
+        /** The startup handshake completed. */
+        default void ready(AsyncClient client) {}
 
-        /** It ended while nothing was asked on it. */
-        default void ended(AsyncClient client) {}
+        /** The connection was closed while no request was outstanding. */
+        default void closedWhileIdle(AsyncClient client) {}
     }
 
     private Listener listener;
     private Connection connection;
     private Frames frames;
-    private boolean greeted;
-    private boolean row;
-    private Answer answer;
-    private long asked = -1;
+    private boolean ready;
+    private boolean rowReceived;
+    private Outcome error;
+
+    /** Start time of the outstanding request; -1 if there is none. */
+    private long pendingSince = -1;
 
     AsyncClient(Listener listener) {
         this.listener = listener;
@@ -62,61 +70,62 @@
         return client;
     }
 
-    /** From now on this one hears of it. */
-    void listenTo(Listener next) {
-        listener = next;
+    /** Replaces the listener. */
+    void setListener(Listener replacement) {
+        listener = replacement;
     }
 
-    boolean isFree() {
-        return greeted && asked < 0 && connection.isOpen();
+    /** Whether the connection is open, started up and has no outstanding request. */
+    boolean isIdle() {
+        return ready && pendingSince < 0 && connection.isOpen();
     }
 
     boolean isOpen() {
         return connection != null && connection.isOpen();
     }
 
-    /** Sends a read; {@code at} is kept for the answer. */
-    void read(String id, String key, long waitsMs, long at) {
-        asked = at;
-        row = false;
-        answer = null;
+    /** Sends a read; {@code startNanos} is passed to the listener with its outcome. */
+    void sendRead(String id, String key, long deadlineMs, long startNanos) {
+        pendingSince = startNanos;
+        rowReceived = false;
+        error = null;
         connection.write(
                 Encoder.query(
                         "/* id="
                                 + id
                                 + ",c=read,d="
-                                + waitsMs
+                                + deadlineMs
                                 + ",cluster=0,t=one */ "
                                 + "SELECT val FROM state WHERE uid = '"
                                 + key
                                 + "'"));
     }
 
-    /** Sends many, and reads nothing. */
-    void readDeaf(String id, String key, long waitsMs, int times) {
+    /** Pauses reading and sends a number of reads, whose responses are never read. */
+    void sendReadsPaused(String id, String key, long deadlineMs, int count) {
         connection.setReadingPaused(true);
-        for (int i = 0; i < times; i++) {
-            read(id + "-" + i, key, waitsMs, System.nanoTime());
+        for (int i = 0; i < count; i++) {
+            sendRead(id + "-" + i, key, deadlineMs, System.nanoTime());
         }
     }
 
     @Override
-    public void opened(Connection up) {
-        connection = up;
+    public void opened(Connection opened) {
+        connection = opened;
         connection.write(Encoder.startup("client", "core"));
     }
 
     @Override
-    public void received(Connection from, byte[] bytes) {
+    public void received(Connection source, byte[] bytes) {
         if (frames == null) {
-            frames = new Frames(false, HostMessage.TYPES, LARGEST);
+            frames = new Frames(false, HostMessage.TYPES, MAX_MESSAGE_BYTES);
         }
         frames.add(bytes);
         for (Frame frame = frames.next(); frame != null; frame = frames.next()) {
             switch (frame.type()) {
-                case 'D' -> row = true;
-                case 'E' -> answer = isPushback(frame) ? Answer.PUSHED_BACK : Answer.ABORTED;
-                case 'Z' -> ready();
+                case 'D' -> rowReceived = true;
+                case 'E' -> error = isPushback(frame) ? Outcome.PUSHED_BACK : Outcome.ABORTED;
+                case 'Z' -> handleReadyForQuery();
                 default -> {}
             }
         }
@@ -131,28 +140,28 @@
                         || failed.failure().code().equals("57P03"));
     }
 
-    private void ready() {
-        if (!greeted) {
-            greeted = true;
-            listener.greeted(this);
-        } else if (asked >= 0) {
-            end(answer != null ? answer : row ? Answer.OK : Answer.ABORTED);
+    private void handleReadyForQuery() {
+        if (!ready) {
+            ready = true;
+            listener.ready(this);
+        } else if (pendingSince >= 0) {
+            complete(error != null ? error : rowReceived ? Outcome.OK : Outcome.ABORTED);
         }
     }
 
-    private void end(Answer how) {
-        long at = asked;
-        asked = -1;
-        listener.answered(this, how, at);
+    private void complete(Outcome outcome) {
+        long startNanos = pendingSince;
+        pendingSince = -1;
+        listener.completed(this, outcome, startNanos);
     }
 
     @Override
-    public void closed(Connection from) {
-        if (asked >= 0) {
-            // A fatal error needs no ReadyForQuery behind it.
-            end(answer != null ? answer : Answer.CLOSED);
+    public void closed(Connection source) {
+        if (pendingSince >= 0) {
+            // ReadyForQuery does not follow a fatal error.
+            complete(error != null ? error : Outcome.CLOSED);
         } else {
-            listener.ended(this);
+            listener.closedWhileIdle(this);
         }
     }
 }
--- a/lab/src/main/java/ironwind/lab/ClientWorker.java
+++ b/lab/src/main/java/ironwind/lab/ClientWorker.java
@@ -1,6 +1,6 @@
 package ironwind.lab;
 
-import ironwind.lab.AsyncClient.Answer;
+import ironwind.lab.AsyncClient.Outcome;
 import ironwind.standin.EventLoop;
 import java.io.BufferedReader;
 import java.io.IOException;
@@ -14,48 +14,52 @@
 import java.util.concurrent.CountDownLatch;
 
 /**
- * A process that holds many connections to routers. Commands come on standard input, a line each,
- * and each gets one line on standard output: {@code open N}, {@code wake MS}, {@code slow N BYTES},
- * {@code count}, {@code quit}.
+ * A worker process that holds many client connections to routers. It reads commands from standard
+ * input, one per line, and replies to each with one line of {@code name=number} pairs on standard
+ * output: {@code open N}, {@code wake MS}, {@code slow N BYTES}, {@code count}, {@code quit}.
  */
 public final class ClientWorker {
-    /** Coming up at one time. */
-    private static final int AT_ONCE = 128;
+    /** Connections that may be connecting or awaiting their first response at the same time. */
+    private static final int MAX_CONNECTING = 128;
 
-    /** So many of one source address: each has its own ports. */
-    private static final int OF_ONE_ADDRESS = 4_000;
+    /** Connections per source address: each address has its own range of ephemeral ports. */
+    private static final int CONNECTIONS_PER_ADDRESS = 4_000;
 
-    private static final int AHEAD = 8;
+    private static final int PIPELINED_REQUESTS = 8;
 
     /**
-     * So many of the slow readers ask in a second: it is their not reading that is looked at, not
-     * their asking.
+     * Rate at which slow readers send their requests. It is kept low because the benchmark measures
+     * the effect of unread responses, not that of a burst of requests.
      */
-    private static final int SLOW_PER_SECOND = 200;
+    private static final int SLOW_READERS_PER_SECOND = 200;
 
-    private static final int SLOW_BUFFER = 4_096;
-    private static final long SECOND = 1_000_000_000L;
-    private static final long OPEN_WAITS_MS = 30_000;
+    private static final int SLOW_READER_BUFFER_BYTES = 4_096;
+    private static final long NANOS_PER_SECOND = 1_000_000_000L;
+    private static final long DEADLINE_MS = 30_000;
 
-    private final EventLoop loop = new EventLoop("crowd");
+    private final EventLoop loop = new EventLoop("client-worker");
     private final List<InetSocketAddress> routers;
-    private final int number;
+    private final int workerNumber;
     private final List<AsyncClient> clients = new ArrayList<>();
-    private int asked;
-    private int opened;
+    private int nextRequest;
+    private int connectionsStarted;
 
-    private ClientWorker(int number, List<InetSocketAddress> routers) throws IOException {
-        this.number = number;
+    private ClientWorker(int workerNumber, List<InetSocketAddress> routers) throws IOException {
+        this.workerNumber = workerNumber;
         this.routers = routers;
     }
 
-    /** Arguments: a number that tells crowds apart, then routers' ports. */
+    /**
+     * Runs the worker until {@code quit} or the end of standard input. The arguments are a number
+     * unique to this worker, which selects its source addresses and request ids, and the routers'
+     * ports.
+     */
     public static void main(String[] args) throws IOException, InterruptedException {
         List<InetSocketAddress> routers = new ArrayList<>();
         for (int i = 1; i < args.length; i++) {
             routers.add(new InetSocketAddress("127.0.0.1", Integer.parseInt(args[i])));
         }
-        ClientWorker crowd = new ClientWorker(Integer.parseInt(args[0]), routers);
+        ClientWorker worker = new ClientWorker(Integer.parseInt(args[0]), routers);
         BufferedReader in =
                 new BufferedReader(new InputStreamReader(System.in, StandardCharsets.UTF_8));
         for (String line = in.readLine();
@@ -64,137 +68,153 @@
             String[] words = line.split(" ");
             System.out.println(
                     switch (words[0]) {
-                        case "open" -> crowd.open(Integer.parseInt(words[1]), true);
-                        case "wake" -> crowd.wake(Long.parseLong(words[1]));
-                        case "slow" -> crowd.slow(Integer.parseInt(words[1]), words[2]);
-                        default -> crowd.count();
+                        case "open" -> worker.open(Integer.parseInt(words[1]), true);
+                        case "wake" -> worker.sendFromAllIdle(Long.parseLong(words[1]));
+                        case "slow" -> worker.openSlowReaders(Integer.parseInt(words[1]), words[2]);
+                        default -> worker.countOpen();
                     });
         }
     }
 
-    private static String words(Map<Answer, Integer> answers, long nanos) {
+    private static String formatOutcomes(Map<Outcome, Integer> outcomes, long nanos) {
         StringBuilder line = new StringBuilder();
-        for (Answer answer : Answer.values()) {
-            line.append(answer).append('=').append(answers.getOrDefault(answer, 0)).append(' ');
+        for (Outcome outcome : Outcome.values()) {
+            line.append(outcome).append('=').append(outcomes.getOrDefault(outcome, 0)).append(' ');
         }
         return line.append("ms=").append(nanos / 1_000_000).toString();
     }
 
-    /** Opens more, each of which asks once, as one that plays does. */
-    private String open(int more, boolean asks) throws InterruptedException {
-        Map<Answer, Integer> answers = new EnumMap<>(Answer.class);
-        CountDownLatch done = new CountDownLatch(more);
-        long begun = System.nanoTime();
-        int[] left = {more};
+    /**
+     * Opens connections; with {@code sendRequest} each sends one read and waits for its outcome.
+     */
+    private String open(int count, boolean sendRequest) throws InterruptedException {
+        Map<Outcome, Integer> outcomes = new EnumMap<>(Outcome.class);
+        CountDownLatch done = new CountDownLatch(count);
+        long startNanos = System.nanoTime();
+        int[] remaining = {count};
         AsyncClient.Listener listener =
                 new AsyncClient.Listener() {
                     @Override
-                    public void greeted(AsyncClient client) {
-                        if (asks) {
-                            client.read(id(), "k", OPEN_WAITS_MS, 0);
+                    public void ready(AsyncClient client) {
+                        if (sendRequest) {
+                            client.sendRead(nextId(), "k", DEADLINE_MS, 0);
                         } else {
-                            end(Answer.OK);
+                            finish(Outcome.OK);
                         }
                     }
 
                     @Override
-                    public void answered(AsyncClient client, Answer answer, long at) {
-                        end(answer);
+                    public void completed(AsyncClient client, Outcome outcome, long sentNanos) {
+                        finish(outcome);
                     }
 
                     @Override
-                    public void ended(AsyncClient client) {
-                        end(Answer.CLOSED);
+                    public void closedWhileIdle(AsyncClient client) {
+                        finish(Outcome.CLOSED);
                     }
 
-                    private void end(Answer answer) {
+                    private void finish(Outcome outcome) {
                         if (done.getCount() > 0) {
-                            answers.merge(answer, 1, Integer::sum);
+                            outcomes.merge(outcome, 1, Integer::sum);
                             done.countDown();
-                            if (left[0] > 0) {
-                                left[0]--;
-                                clients.add(connect(this, asks ? 0 : SLOW_BUFFER));
+                            if (remaining[0] > 0) {
+                                remaining[0]--;
+                                clients.add(
+                                        connect(this, sendRequest ? 0 : SLOW_READER_BUFFER_BYTES));
                             }
                         }
                     }
                 };
         loop.execute(
                 () -> {
-                    for (int i = 0; i < AT_ONCE && left[0] > 0; i++) {
-                        left[0]--;
-                        clients.add(connect(listener, asks ? 0 : SLOW_BUFFER));
+                    for (int i = 0; i < MAX_CONNECTING && remaining[0] > 0; i++) {
+                        remaining[0]--;
+                        clients.add(connect(listener, sendRequest ? 0 : SLOW_READER_BUFFER_BYTES));
                     }
                 });
         done.await();
-        return words(answers, System.nanoTime() - begun);
+        return formatOutcomes(outcomes, System.nanoTime() - startNanos);
     }
 
-    private String id() {
-        return "c" + number + "-" + asked++;
+    private String nextId() {
+        return "c" + workerNumber + "-" + nextRequest++;
     }
 
     private AsyncClient connect(AsyncClient.Listener listener, int receiveBuffer) {
-        int address = opened / OF_ONE_ADDRESS;
+        int address = connectionsStarted / CONNECTIONS_PER_ADDRESS;
         InetSocketAddress from =
-                new InetSocketAddress("127." + (16 + number) + ".0." + (1 + address), 0);
+                new InetSocketAddress("127." + (16 + workerNumber) + ".0." + (1 + address), 0);
         return AsyncClient.connect(
-                loop, from, routers.get(opened++ % routers.size()), listener, receiveBuffer);
+                loop,
+                from,
+                routers.get(connectionsStarted++ % routers.size()),
+                listener,
+                receiveBuffer);
     }
 
-    /** All that are open ask at one time; ends when each is answered, or has been closed. */
-    private String wake(long waitsMs) throws InterruptedException {
-        Map<Answer, Integer> answers = new EnumMap<>(Answer.class);
-        CountDownLatch posted = new CountDownLatch(1);
+    /**
+     * Sends a read on every idle connection at once; returns when each was answered or closed.
+     * {@code sent_ms} is the time it took to send them.
+     */
+    private String sendFromAllIdle(long deadlineMs) throws InterruptedException {
+        Map<Outcome, Integer> outcomes = new EnumMap<>(Outcome.class);
+        CountDownLatch sent = new CountDownLatch(1);
         CountDownLatch[] done = new CountDownLatch[1];
-        long[] sentIn = {0};
-        long begun = System.nanoTime();
+        long[] sendNanos = {0};
+        long startNanos = System.nanoTime();
         AsyncClient.Listener listener =
-                (client, answer, at) -> {
-                    answers.merge(answer, 1, Integer::sum);
+                (client, outcome, sentNanos) -> {
+                    outcomes.merge(outcome, 1, Integer::sum);
                     done[0].countDown();
                 };
         loop.execute(
                 () -> {
-                    List<AsyncClient> awake = clients.stream().filter(AsyncClient::isFree).toList();
-                    done[0] = new CountDownLatch(awake.size());
-                    for (AsyncClient client : awake) {
-                        client.listenTo(listener);
-                        client.read(id(), "k", waitsMs, 0);
+                    List<AsyncClient> idle = clients.stream().filter(AsyncClient::isIdle).toList();
+                    done[0] = new CountDownLatch(idle.size());
+                    for (AsyncClient client : idle) {
+                        client.setListener(listener);
+                        client.sendRead(nextId(), "k", deadlineMs, 0);
                     }
-                    sentIn[0] = System.nanoTime() - begun;
-                    posted.countDown();
+                    sendNanos[0] = System.nanoTime() - startNanos;
+                    sent.countDown();
                 });
-        posted.await();
+        sent.await();
         done[0].await();
-        return words(answers, System.nanoTime() - begun) + " sent_ms=" + sentIn[0] / 1_000_000;
+        return formatOutcomes(outcomes, System.nanoTime() - startNanos)
+                + " sent_ms="
+                + sendNanos[0] / 1_000_000;
     }
 
-    /** New ones that ask for much, again and again, and read nothing of it. */
-    private String slow(int more, String bytes) throws InterruptedException {
-        String line = open(more, false);
-        CountDownLatch posted = new CountDownLatch(1);
+    /** Opens connections that request large values repeatedly and never read the responses. */
+    private String openSlowReaders(int count, String bytes) throws InterruptedException {
+        String line = open(count, false);
+        CountDownLatch scheduled = new CountDownLatch(1);
         loop.execute(
                 () -> {
-                    long now = System.nanoTime();
+                    long sendAt = System.nanoTime();
                     for (AsyncClient client :
-                            clients.subList(clients.size() - more, clients.size())) {
-                        now += SECOND / SLOW_PER_SECOND;
+                            clients.subList(clients.size() - count, clients.size())) {
+                        sendAt += NANOS_PER_SECOND / SLOW_READERS_PER_SECOND;
                         loop.schedule(
-                                now,
+                                sendAt,
                                 () -> {
-                                    if (client.isFree()) {
-                                        client.listenTo((deaf, answer, at) -> {});
-                                        client.readDeaf(id(), "big-" + bytes, OPEN_WAITS_MS, AHEAD);
+                                    if (client.isIdle()) {
+                                        client.setListener((ignored, outcome, sentNanos) -> {});
+                                        client.sendReadsPaused(
+                                                nextId(),
+                                                "big-" + bytes,
+                                                DEADLINE_MS,
+                                                PIPELINED_REQUESTS);
                                     }
                                 });
                     }
-                    posted.countDown();
+                    scheduled.countDown();
                 });
-        posted.await();
+        scheduled.await();
         return line;
     }
 
-    private String count() throws InterruptedException {
+    private String countOpen() throws InterruptedException {
         CountDownLatch counted = new CountDownLatch(1);
         long[] open = {0};
         loop.execute(
--- a/lab/src/main/java/ironwind/lab/ClientWorkerProcess.java
+++ b/lab/src/main/java/ironwind/lab/ClientWorkerProcess.java
@@ -12,45 +12,45 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** A {@link ClientWorker} in a process of its own. */
+/** A {@link ClientWorker} in a separate process, controlled over its standard input and output. */
 final class ClientWorkerProcess implements AutoCloseable {
     private final Process process;
-    private final BufferedWriter to;
-    private final BufferedReader from;
+    private final BufferedWriter commands;
+    private final BufferedReader replies;
 
-    ClientWorkerProcess(int number, List<InetSocketAddress> routers) throws IOException {
+    ClientWorkerProcess(int workerNumber, List<InetSocketAddress> routers) throws IOException {
         List<String> command =
                 new ArrayList<>(
                         List.of(
-                                RouterProcess.java(),
+                                RouterProcess.javaExecutable(),
                                 "-XX:+UseSerialGC",
                                 "-Xmx768m",
                                 "-cp",
                                 System.getProperty("java.class.path"),
                                 ClientWorker.class.getName(),
-                                Integer.toString(number)));
+                                Integer.toString(workerNumber)));
         routers.forEach(router -> command.add(Integer.toString(router.getPort())));
         process =
                 new ProcessBuilder(command).redirectError(ProcessBuilder.Redirect.INHERIT).start();
-        to =
+        commands =
                 new BufferedWriter(
                         new OutputStreamWriter(process.getOutputStream(), StandardCharsets.UTF_8));
-        from =
+        replies =
                 new BufferedReader(
                         new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8));
     }
 
-    /** Gives an order, without waiting for its answer. */
-    void order(String line) throws IOException {
-        to.write(line + "\n");
-        to.flush();
+    /** Sends a command without waiting for the reply. */
+    void send(String line) throws IOException {
+        commands.write(line + "\n");
+        commands.flush();
     }
 
-    /** The answer to an order, as names and numbers. */
-    Map<String, Long> answer() throws IOException {
-        String line = from.readLine();
+    /** Returns the reply to the oldest command not yet replied to, as numbers by name. */
+    Map<String, Long> readReply() throws IOException {
+        String line = replies.readLine();
         if (line == null) {
-            throw new IOException("a crowd has ended");
+            throw new IOException("a client worker exited before replying");
         }
         Map<String, Long> values = new TreeMap<>();
         for (String word : line.split(" ")) {
--- a/lab/src/main/java/ironwind/lab/IdleBenchmark.java
+++ b/lab/src/main/java/ironwind/lab/IdleBenchmark.java
@@ -2,7 +2,7 @@
 
 import io.vertx.core.json.JsonArray;
 import io.vertx.core.json.JsonObject;
-import ironwind.lab.LoadGenerator.Round;
+import ironwind.lab.LoadGenerator.Result;
 import ironwind.standin.EventLoop;
 import ironwind.standin.StandInDiscovery;
 import ironwind.standin.StandInHost;
@@ -21,57 +21,66 @@
 import java.util.regex.Pattern;
 
 /**
- * What idle connections cost: routers on one core, crowds that hold connections to them, clients
- * that ask all the time. The same is done to each text of the program, one after another in one
- * run.
+ * Measures what idle connections cost: routers on one core, client workers that hold connections to
+ * them, and a constant load of requests from other clients. Each router jar is measured in the same
+ * way, one after another in one run.
  */
 public final class IdleBenchmark {
-    private static final int HOSTS = 3;
-    private static final long WORK_NANOS = 2_000_000;
-    private static final int ACTIVE_CONNECTIONS = 60;
-    private static final int OF_ONE_CROWD = 17_500;
-    private static final int SHOWN_CLASSES = 12;
-    private static final double KILO = 1_024;
-    private static final Pattern MEMORY = Pattern.compile("mem ([0-9]+)");
+    private static final int HOST_COUNT = 3;
+    private static final long HOST_RESPONSE_NANOS = 2_000_000;
+    private static final int LOAD_CONNECTIONS = 60;
+
+    /** Keeps each client worker below the number of descriptors that one process may open. */
+    private static final int CONNECTIONS_PER_WORKER = 17_500;
+
+    private static final int REPORTED_CLASSES = 12;
+    private static final double KB_PER_MB = 1_024;
+    private static final Pattern SOCKSTAT_MEMORY = Pattern.compile("mem ([0-9]+)");
     private static final long PAGE_KB = 4;
 
     private final Plan plan;
     private final PrintStream out;
 
     /**
-     * What is to be done.
+     * What to measure, and how.
      *
-     * @param texts jars of the program by name, in their order
-     * @param sizes idle connections in all, growing
-     * @param perSecond questions of the active clients
-     * @param seconds of each round
-     * @param wakeMs how long the woken wait for their answers; 0 wakes none
-     * @param slowReaders at the end so many ask for 64 KiB again and again, and read nothing
-     * @param core the routers' core; negative leaves that to the system
+     * @param jars router jars by name, measured in iteration order
+     * @param connectionCounts total numbers of idle connections, ascending
+     * @param routers number of routers that share the core
+     * @param requestsPerSecond rate of the constant load
+     * @param secondsPerRun duration of each measurement
+     * @param wakeDeadlineMs deadline of the requests that all idle clients send at the same time; 0
+     *     sends none
+     * @param slowReaders number of clients that at the end request 64 KiB values repeatedly and
+     *     never read the responses; 0 for none
+     * @param core CPU that the routers are pinned to; negative for none
+     * @param heapMb maximum heap and memory limit of each router
+     * @param hclFile installation settings of the routers; may be null
      */
     public record Plan(
-            Map<String, Path> texts,
-            List<Integer> sizes,
+            Map<String, Path> jars,
+            List<Integer> connectionCounts,
             int routers,
-            int perSecond,
-            double seconds,
-            long wakeMs,
+            int requestsPerSecond,
+            double secondsPerRun,
+            long wakeDeadlineMs,
             int slowReaders,
             int core,
             int heapMb,
-            Path hcl) {}
+            Path hclFile) {}
 
+    /** Creates a benchmark that prints its progress and results to {@code out}. */
     public IdleBenchmark(Plan plan, PrintStream out) {
         this.plan = plan;
         this.out = out;
     }
 
-    /** Figures of every text and size, as they are printed. */
+    /** Runs the benchmark and returns its figures, one object per measurement. */
     public JsonArray run() throws IOException, InterruptedException {
-        JsonArray all = new JsonArray();
+        JsonArray results = new JsonArray();
         out.printf(
                 "%-8s %8s %9s %9s %9s %7s %8s %8s %8s %7s%n",
-                "text",
+                "version",
                 "idle",
                 "heap KB/c",
                 "rss KB/c",
@@ -81,21 +90,21 @@
                 "p99 ms",
                 "p99.9 ms",
                 "not ok");
-        for (Map.Entry<String, Path> text : plan.texts().entrySet()) {
-            play(text.getKey(), text.getValue(), all);
+        for (Map.Entry<String, Path> jar : plan.jars().entrySet()) {
+            benchmark(jar.getKey(), jar.getValue(), results);
         }
-        return all;
+        return results;
     }
 
-    private void play(String name, Path jar, JsonArray all)
+    private void benchmark(String name, Path jar, JsonArray results)
             throws IOException, InterruptedException {
-        Path folder = Files.createTempDirectory("ironwind-idle");
+        Path directory = Files.createTempDirectory("ironwind-idle");
         List<RouterProcess> routers = new ArrayList<>();
-        List<ClientWorkerProcess> crowds = new ArrayList<>();
-        try (EventLoop loop = new EventLoop("hosts")) {
+        List<ClientWorkerProcess> workers = new ArrayList<>();
+        try (EventLoop hostLoop = new EventLoop("hosts")) {
             List<StandInHost> hosts = new ArrayList<>();
-            for (int i = 0; i < HOSTS; i++) {
-                hosts.add(new StandInHost(loop, i == 0, WORK_NANOS));
+            for (int i = 0; i < HOST_COUNT; i++) {
+                hosts.add(new StandInHost(hostLoop, i == 0, HOST_RESPONSE_NANOS));
             }
             try (StandInDiscovery discovery = new StandInDiscovery(hosts)) {
                 for (int i = 0; i < plan.routers(); i++) {
@@ -104,288 +113,315 @@
                                     jar,
                                     i,
                                     discovery.port(),
-                                    folder,
+                                    directory,
                                     plan.core(),
                                     plan.heapMb(),
-                                    plan.hcl()));
+                                    plan.hclFile()));
                 }
                 List<InetSocketAddress> addresses =
                         routers.stream().map(router -> router.address).toList();
-                try (LoadGenerator active =
-                        new LoadGenerator(addresses, ACTIVE_CONNECTIONS, plan.perSecond())) {
-                    active.play(Math.max(2, plan.seconds() / 2));
-                    sizes(name, routers, crowds, addresses, active, all);
-                    if (plan.wakeMs() > 0) {
-                        wake(name, routers, crowds, all);
+                try (LoadGenerator load =
+                        new LoadGenerator(addresses, LOAD_CONNECTIONS, plan.requestsPerSecond())) {
+                    load.run(Math.max(2, plan.secondsPerRun() / 2));
+                    measureSizes(name, routers, workers, addresses, load, results);
+                    if (plan.wakeDeadlineMs() > 0) {
+                        measureWake(name, routers, workers, results);
                     }
                     if (plan.slowReaders() > 0) {
-                        slowReaders(name, routers, addresses, crowds, active, all);
+                        measureSlowReaders(name, routers, addresses, workers, load, results);
                     }
                 }
-                double slowest = 0;
+                double maxSeconds = 0;
                 for (RouterProcess router : routers) {
-                    double took = router.end();
-                    slowest = took < 0 || slowest < 0 ? -1 : Math.max(slowest, took);
+                    double seconds = router.terminate();
+                    maxSeconds = seconds < 0 || maxSeconds < 0 ? -1 : Math.max(maxSeconds, seconds);
                 }
                 out.printf(
-                        "%-8s all asked to end: the last was gone after %.2f s%n", name, slowest);
-                all.add(
+                        "%-8s all routers sent SIGTERM: the last exited after %.2f s%n",
+                        name, maxSeconds);
+                results.add(
                         new JsonObject()
                                 .put("text", name)
                                 .put("what", "end")
-                                .put("seconds", slowest));
+                                .put("seconds", maxSeconds));
             }
         } finally {
-            crowds.forEach(ClientWorkerProcess::close);
+            workers.forEach(ClientWorkerProcess::close);
             routers.forEach(RouterProcess::close);
         }
     }
 
-    private record Point(
-            double liveKb, double residentKb, double kernelKb, Map<String, Long> classes) {}
+    private record Snapshot(
+            double liveKb,
+            double residentKb,
+            double kernelKb,
+            Map<String, Long> liveBytesByClass) {}
 
-    private void sizes(
+    private void measureSizes(
             String name,
             List<RouterProcess> routers,
-            List<ClientWorkerProcess> crowds,
+            List<ClientWorkerProcess> workers,
             List<InetSocketAddress> addresses,
-            LoadGenerator active,
-            JsonArray all)
+            LoadGenerator load,
+            JsonArray results)
             throws IOException, InterruptedException {
-        Point empty = null;
-        int held = 0;
-        for (int size : plan.sizes()) {
-            open(size - held, crowds, addresses);
-            held = size;
+        Snapshot baseline = null;
+        int opened = 0;
+        for (int connections : plan.connectionCounts()) {
+            openConnections(connections - opened, workers, addresses);
+            opened = connections;
             Thread.sleep(1_000);
-            Point point = point(routers);
-            double cpuBefore = cpu(routers);
-            long begun = System.nanoTime();
-            Thread.sleep((long) (1_000 * plan.seconds()));
-            double cpu = 100 * (cpu(routers) - cpuBefore) / ((System.nanoTime() - begun) / 1e9);
-            Round round = active.play(plan.seconds());
-            empty = empty == null ? point : empty;
-            long open = count(crowds);
-            int more = Math.max(1, size - plan.sizes().get(0));
+            Snapshot snapshot = takeSnapshot(routers);
+            double cpuSecondsBefore = cpuSeconds(routers);
+            long startNanos = System.nanoTime();
+            Thread.sleep((long) (1_000 * plan.secondsPerRun()));
+            double cpuPercent =
+                    100
+                            * (cpuSeconds(routers) - cpuSecondsBefore)
+                            / ((System.nanoTime() - startNanos) / 1e9);
+            Result result = load.run(plan.secondsPerRun());
+            baseline = baseline == null ? snapshot : baseline;
+            long open = countOpen(workers);
+            int count = Math.max(1, connections - plan.connectionCounts().get(0));
             JsonObject figures =
                     new JsonObject()
                             .put("text", name)
                             .put("what", "idle")
-                            .put("idle", size)
+                            .put("idle", connections)
                             .put("still_open", open)
-                            .put("live_kb_each", (point.liveKb - empty.liveKb) / more)
-                            .put("resident_kb_each", (point.residentKb - empty.residentKb) / more)
-                            .put("kernel_kb_each", (point.kernelKb - empty.kernelKb) / more)
-                            .put("resident_kb", point.residentKb)
-                            .put("live_kb", point.liveKb)
-                            .put("cpu_percent", cpu);
-            put(figures, round);
-            all.add(figures);
+                            .put("live_kb_each", (snapshot.liveKb - baseline.liveKb) / count)
+                            .put(
+                                    "resident_kb_each",
+                                    (snapshot.residentKb - baseline.residentKb) / count)
+                            .put("kernel_kb_each", (snapshot.kernelKb - baseline.kernelKb) / count)
+                            .put("resident_kb", snapshot.residentKb)
+                            .put("live_kb", snapshot.liveKb)
+                            .put("cpu_percent", cpuPercent);
+            putLatencies(figures, result);
+            results.add(figures);
             out.printf(
                     "%-8s %8d %9.2f %9.2f %9.2f %7.2f %8.2f %8.2f %8.2f %7d%s%n",
                     name,
-                    size,
+                    connections,
                     figures.getDouble("live_kb_each"),
                     figures.getDouble("resident_kb_each"),
                     figures.getDouble("kernel_kb_each"),
-                    cpu,
-                    millis(round, 50),
-                    millis(round, 99),
-                    millis(round, 99.9),
-                    notOk(round),
-                    open < size ? "  still open: " + open : "");
-            if (size == plan.sizes().get(plan.sizes().size() - 1) && held > 0) {
-                classes(name, empty, point, more, all);
+                    cpuPercent,
+                    percentileMs(result, 50),
+                    percentileMs(result, 99),
+                    percentileMs(result, 99.9),
+                    countNotOk(result),
+                    open < connections ? "  still open: " + open : "");
+            if (connections == plan.connectionCounts().get(plan.connectionCounts().size() - 1)
+                    && opened > 0) {
+                reportClasses(name, baseline, snapshot, count, results);
             }
         }
     }
 
-    private void classes(String name, Point empty, Point point, int more, JsonArray all) {
-        Map<String, Double> each = new TreeMap<>();
-        point.classes.forEach(
+    private void reportClasses(
+            String name, Snapshot baseline, Snapshot snapshot, int count, JsonArray results) {
+        Map<String, Double> bytesEach = new TreeMap<>();
+        snapshot.liveBytesByClass.forEach(
                 (type, bytes) ->
-                        each.put(
+                        bytesEach.put(
                                 type,
-                                (bytes - empty.classes.getOrDefault(type, 0L)) / (double) more));
-        JsonObject found = new JsonObject();
-        each.entrySet().stream()
+                                (bytes - baseline.liveBytesByClass.getOrDefault(type, 0L))
+                                        / (double) count));
+        JsonObject reported = new JsonObject();
+        bytesEach.entrySet().stream()
                 .sorted(Map.Entry.<String, Double>comparingByValue().reversed())
-                .limit(SHOWN_CLASSES)
+                .limit(REPORTED_CLASSES)
                 .forEach(
                         entry -> {
                             out.printf(
                                     "%-8s   %7.1f bytes each  %s%n",
                                     name, entry.getValue(), entry.getKey());
-                            found.put(entry.getKey(), entry.getValue());
+                            reported.put(entry.getKey(), entry.getValue());
                         });
-        all.add(new JsonObject().put("text", name).put("what", "classes").put("bytes_each", found));
+        results.add(
+                new JsonObject()
+                        .put("text", name)
+                        .put("what", "classes")
+                        .put("bytes_each", reported));
     }
 
-    private void open(int more, List<ClientWorkerProcess> crowds, List<InetSocketAddress> addresses)
+    private void openConnections(
+            int count, List<ClientWorkerProcess> workers, List<InetSocketAddress> addresses)
             throws IOException {
-        // One crowd at a time, so that each stays under what one process may hold.
-        int left = more;
-        while (left > 0) {
-            int room = crowds.isEmpty() ? 0 : OF_ONE_CROWD - inLast;
-            if (room == 0) {
-                crowds.add(new ClientWorkerProcess(crowds.size(), addresses));
-                inLast = 0;
-                room = OF_ONE_CROWD;
+        // Fills one worker after another, so that each stays below the limit of one process.
+        int remaining = count;
+        while (remaining > 0) {
+            int free = workers.isEmpty() ? 0 : CONNECTIONS_PER_WORKER - inLastWorker;
+            if (free == 0) {
+                workers.add(new ClientWorkerProcess(workers.size(), addresses));
+                inLastWorker = 0;
+                free = CONNECTIONS_PER_WORKER;
             }
-            int now = Math.min(room, left);
-            ClientWorkerProcess crowd = crowds.get(crowds.size() - 1);
-            crowd.order("open " + now);
-            Map<String, Long> answer = crowd.answer();
+            int batch = Math.min(free, remaining);
+            ClientWorkerProcess worker = workers.get(workers.size() - 1);
+            worker.send("open " + batch);
+            Map<String, Long> reply = worker.readReply();
             out.printf(
-                    "opened %d, each asked once, in %d ms%s%n",
-                    now, answer.get("ms"), answer.get("OK") < now ? " with losses: " + answer : "");
-            inLast += now;
-            left -= now;
+                    "opened %d, one request each, in %d ms%s%n",
+                    batch,
+                    reply.get("ms"),
+                    reply.get("OK") < batch ? " with failures: " + reply : "");
+            inLastWorker += batch;
+            remaining -= batch;
         }
     }
 
-    private int inLast;
+    /** Connections held by the last worker. */
+    private int inLastWorker;
 
-    private long count(List<ClientWorkerProcess> crowds) throws IOException {
+    private long countOpen(List<ClientWorkerProcess> workers) throws IOException {
         long open = 0;
-        for (ClientWorkerProcess crowd : crowds) {
-            crowd.order("count");
-            open += crowd.answer().get("open");
+        for (ClientWorkerProcess worker : workers) {
+            worker.send("count");
+            open += worker.readReply().get("open");
         }
         return open;
     }
 
-    private Point point(List<RouterProcess> routers) throws IOException, InterruptedException {
-        Map<String, Long> classes = new HashMap<>();
-        double resident = 0;
+    private Snapshot takeSnapshot(List<RouterProcess> routers)
+            throws IOException, InterruptedException {
+        Map<String, Long> liveBytesByClass = new HashMap<>();
+        double residentKb = 0;
         for (RouterProcess router : routers) {
-            router.collect();
-            router.liveBytes().forEach((type, bytes) -> classes.merge(type, bytes, Long::sum));
-            router.collect();
-            resident += router.residentKb();
+            router.collectGarbage();
+            router.liveBytesByClass()
+                    .forEach((type, bytes) -> liveBytesByClass.merge(type, bytes, Long::sum));
+            router.collectGarbage();
+            residentKb += router.residentKb();
         }
-        return new Point(RouterProcess.sum(classes), resident, kernelKb(), classes);
+        return new Snapshot(
+                RouterProcess.totalKb(liveBytesByClass),
+                residentKb,
+                kernelBuffersKb(),
+                liveBytesByClass);
     }
 
     /**
-     * Of both ends of all TCP connections of this machine: pages of their buffers, as the system
-     * counts them.
+     * Returns the memory of the kernel's TCP buffers, as counted in pages in {@code
+     * /proc/net/sockstat}: both ends of all connections of this machine.
      */
-    private static double kernelKb() throws IOException {
+    private static double kernelBuffersKb() throws IOException {
         Optional<String> line =
                 Files.readAllLines(Path.of("/proc/net/sockstat")).stream()
-                        .filter(each -> each.startsWith("TCP:"))
+                        .filter(entry -> entry.startsWith("TCP:"))
                         .findFirst();
-        Matcher matcher = MEMORY.matcher(line.orElse(""));
+        Matcher matcher = SOCKSTAT_MEMORY.matcher(line.orElse(""));
         return matcher.find() ? PAGE_KB * Double.parseDouble(matcher.group(1)) : 0;
     }
 
-    private static double cpu(List<RouterProcess> routers) throws IOException {
-        double sum = 0;
+    private static double cpuSeconds(List<RouterProcess> routers) throws IOException {
+        double total = 0;
         for (RouterProcess router : routers) {
-            sum += router.cpuSeconds();
+            total += router.cpuSeconds();
         }
-        return sum;
+        return total;
     }
 
-    private void wake(
+    private void measureWake(
             String name,
             List<RouterProcess> routers,
-            List<ClientWorkerProcess> crowds,
-            JsonArray all)
+            List<ClientWorkerProcess> workers,
+            JsonArray results)
             throws IOException {
-        for (ClientWorkerProcess crowd : crowds) {
-            crowd.order("wake " + plan.wakeMs());
+        for (ClientWorkerProcess worker : workers) {
+            worker.send("wake " + plan.wakeDeadlineMs());
         }
-        Map<String, Long> sum = new TreeMap<>();
-        for (ClientWorkerProcess crowd : crowds) {
-            crowd.answer()
+        Map<String, Long> total = new TreeMap<>();
+        for (ClientWorkerProcess worker : workers) {
+            worker.readReply()
                     .forEach(
                             (key, value) ->
-                                    sum.merge(
+                                    total.merge(
                                             key,
                                             value,
                                             key.endsWith("ms") ? Math::max : Long::sum));
         }
-        double highest = 0;
+        double peakMb = 0;
         for (RouterProcess router : routers) {
-            highest = Math.max(highest, router.highestKb() / KILO);
+            peakMb = Math.max(peakMb, router.peakResidentKb() / KB_PER_MB);
         }
         out.printf(
-                "%-8s all woke: %s, a router's highest resident size %.0f MB, routers alive %d of %d%n",
+                "%-8s all sent at once: %s, peak resident size of a router %.0f MB, routers alive %d of %d%n",
                 name,
-                sum,
-                highest,
+                total,
+                peakMb,
                 routers.stream().filter(RouterProcess::isAlive).count(),
                 routers.size());
         JsonObject figures =
-                new JsonObject().put("text", name).put("what", "wake").put("highest_mb", highest);
-        sum.forEach(figures::put);
-        all.add(figures);
+                new JsonObject().put("text", name).put("what", "wake").put("highest_mb", peakMb);
+        total.forEach(figures::put);
+        results.add(figures);
     }
 
-    private void slowReaders(
+    private void measureSlowReaders(
             String name,
             List<RouterProcess> routers,
             List<InetSocketAddress> addresses,
-            List<ClientWorkerProcess> crowds,
-            LoadGenerator active,
-            JsonArray all)
+            List<ClientWorkerProcess> workers,
+            LoadGenerator load,
+            JsonArray results)
             throws IOException, InterruptedException {
-        Round before = active.play(plan.seconds());
-        ClientWorkerProcess slow = new ClientWorkerProcess(100, addresses);
-        crowds.add(slow);
-        slow.order("slow " + plan.slowReaders() + " 65536");
-        slow.answer();
-        Round with = active.play(plan.seconds());
-        // By now they have all asked, and only wait: theirs is the standing cost.
-        Round after = active.play(plan.seconds());
-        double highest = 0;
+        Result before = load.run(plan.secondsPerRun());
+        ClientWorkerProcess slowWorker = new ClientWorkerProcess(100, addresses);
+        workers.add(slowWorker);
+        slowWorker.send("slow " + plan.slowReaders() + " 65536");
+        slowWorker.readReply();
+        Result during = load.run(plan.secondsPerRun());
+        // All slow readers have sent their requests by now, so this measures their steady-state
+        // cost.
+        Result after = load.run(plan.secondsPerRun());
+        double peakMb = 0;
         for (RouterProcess router : routers) {
-            highest = Math.max(highest, router.highestKb() / KILO);
+            peakMb = Math.max(peakMb, router.peakResidentKb() / KB_PER_MB);
         }
         out.printf(
-                "%-8s %d slow readers: p99 %.2f ms before, %.2f while they ask, %.2f then; not ok %d, %d, %d; highest"
-                        + " resident size %.0f MB%n",
+                "%-8s %d slow readers: p99 %.2f ms before, %.2f while they send, %.2f afterwards;"
+                        + " not ok %d, %d, %d; peak resident size %.0f MB%n",
                 name,
                 plan.slowReaders(),
-                millis(before, 99),
-                millis(with, 99),
-                millis(after, 99),
-                notOk(before),
-                notOk(with),
-                notOk(after),
-                highest);
+                percentileMs(before, 99),
+                percentileMs(during, 99),
+                percentileMs(after, 99),
+                countNotOk(before),
+                countNotOk(during),
+                countNotOk(after),
+                peakMb);
         JsonObject figures =
                 new JsonObject()
                         .put("text", name)
                         .put("what", "slow_readers")
                         .put("readers", plan.slowReaders())
-                        .put("p99_ms_before", millis(before, 99))
-                        .put("p99_ms_asking", millis(with, 99))
-                        .put("not_ok_asking", notOk(with))
-                        .put("highest_mb", highest);
-        put(figures, after);
-        all.add(figures);
+                        .put("p99_ms_before", percentileMs(before, 99))
+                        .put("p99_ms_asking", percentileMs(during, 99))
+                        .put("not_ok_asking", countNotOk(during))
+                        .put("highest_mb", peakMb);
+        putLatencies(figures, after);
+        results.add(figures);
     }
 
-    private static void put(JsonObject figures, Round round) {
-        figures.put("p50_ms", millis(round, 50))
-                .put("p99_ms", millis(round, 99))
-                .put("p999_ms", millis(round, 99.9))
-                .put("answers", round.micros.getTotalCount())
-                .put("not_ok", notOk(round));
+    private static void putLatencies(JsonObject figures, Result result) {
+        figures.put("p50_ms", percentileMs(result, 50))
+                .put("p99_ms", percentileMs(result, 99))
+                .put("p999_ms", percentileMs(result, 99.9))
+                .put("answers", result.latencyMicros.getTotalCount())
+                .put("not_ok", countNotOk(result));
     }
 
-    private static double millis(Round round, double percentile) {
-        return round.micros.getValueAtPercentile(percentile) / 1_000.0;
+    private static double percentileMs(Result result, double percentile) {
+        return result.latencyMicros.getValueAtPercentile(percentile) / 1_000.0;
     }
 
-    private static int notOk(Round round) {
-        int sum = round.noneFree;
-        for (Map.Entry<AsyncClient.Answer, Integer> entry : round.answers.entrySet()) {
-            sum += entry.getKey() == AsyncClient.Answer.OK ? 0 : entry.getValue();
+    private static int countNotOk(Result result) {
+        int total = result.notSent;
+        for (Map.Entry<AsyncClient.Outcome, Integer> entry : result.outcomes.entrySet()) {
+            total += entry.getKey() == AsyncClient.Outcome.OK ? 0 : entry.getValue();
         }
-        return sum;
+        return total;
     }
 }
--- a/lab/src/main/java/ironwind/lab/LoadGenerator.java
+++ b/lab/src/main/java/ironwind/lab/LoadGenerator.java
@@ -1,6 +1,6 @@
 package ironwind.lab;
 
-import ironwind.lab.AsyncClient.Answer;
+import ironwind.lab.AsyncClient.Outcome;
 import ironwind.standin.EventLoop;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -12,45 +12,50 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Clients that ask all the time, at a rate that does not depend on the answers: a time counts from
- * when its question was due, so that one that had to wait for a free connection is not made to look
- * better.
+ * Open-loop load generator: sends reads at a fixed rate, whatever the responses. Latency is
+ * measured from the time at which a request was due rather than sent, so that a stall does not hide
+ * in delayed requests (coordinated omission).
  */
 final class LoadGenerator implements AutoCloseable {
-    private static final long LONGEST_US = 60_000_000;
-    private static final long WAITS_MS = 2_000;
-    private static final long SECOND = 1_000_000_000L;
+    private static final long MAX_LATENCY_US = 60_000_000;
+    private static final long DEADLINE_MS = 2_000;
+    private static final long NANOS_PER_SECOND = 1_000_000_000L;
 
-    private final EventLoop loop = new EventLoop("active");
+    private final EventLoop loop = new EventLoop("load-generator");
     private final List<AsyncClient> clients = new ArrayList<>();
-    private final int perSecond;
-    private Round round;
-    private int next;
-    private int asked;
+    private final int requestsPerSecond;
+    private Result result;
+    private int nextClient;
+    private int nextRequest;
 
-    /** What came of one round. */
-    static final class Round {
-        final Histogram micros = new Histogram(LONGEST_US, 3);
-        final Map<Answer, Integer> answers = new EnumMap<>(Answer.class);
-        int noneFree;
+    /** Latencies and outcomes of the requests of one run. */
+    static final class Result {
+        final Histogram latencyMicros = new Histogram(MAX_LATENCY_US, 3);
+        final Map<Outcome, Integer> outcomes = new EnumMap<>(Outcome.class);
+
+        /** Requests that were due while no connection was idle. */
+        int notSent;
     }
 
-    LoadGenerator(List<InetSocketAddress> routers, int connections, int perSecond)
+    /** Opens the connections, spread evenly over the routers, and waits until all are ready. */
+    LoadGenerator(List<InetSocketAddress> routers, int connections, int requestsPerSecond)
             throws IOException, InterruptedException {
-        this.perSecond = perSecond;
-        CountDownLatch up = new CountDownLatch(connections);
+        this.requestsPerSecond = requestsPerSecond;
+        CountDownLatch ready = new CountDownLatch(connections);
         AsyncClient.Listener listener =
                 new AsyncClient.Listener() {
                     @Override
-                    public void greeted(AsyncClient client) {
-                        up.countDown();
+                    public void ready(AsyncClient client) {
+                        ready.countDown();
                     }
 
                     @Override
-                    public void answered(AsyncClient client, Answer answer, long due) {
-                        round.answers.merge(answer, 1, Integer::sum);
-                        round.micros.recordValue(
-                                Math.min(LONGEST_US, Math.max(0, System.nanoTime() - due) / 1_000));
+                    public void completed(AsyncClient client, Outcome outcome, long dueNanos) {
+                        result.outcomes.merge(outcome, 1, Integer::sum);
+                        result.latencyMicros.recordValue(
+                                Math.min(
+                                        MAX_LATENCY_US,
+                                        Math.max(0, System.nanoTime() - dueNanos) / 1_000));
                     }
                 };
         loop.execute(
@@ -62,46 +67,49 @@
                                         loop, from, routers.get(i % routers.size()), listener));
                     }
                 });
-        up.await();
+        ready.await();
     }
 
-    /** Asks for so long, and waits for the last answers. */
-    Round play(double seconds) throws InterruptedException {
-        Round now = new Round();
-        CountDownLatch over = new CountDownLatch(1);
+    /** Sends requests for a number of seconds, then waits one second for the last responses. */
+    Result run(double seconds) throws InterruptedException {
+        Result current = new Result();
+        CountDownLatch done = new CountDownLatch(1);
         loop.execute(
                 () -> {
-                    round = now;
-                    long begin = System.nanoTime();
-                    ask(begin, 0, (long) (seconds * perSecond), over);
+                    result = current;
+                    long start = System.nanoTime();
+                    sendDue(start, 0, (long) (seconds * requestsPerSecond), done);
                 });
-        over.await();
-        return now;
+        done.await();
+        return current;
     }
 
-    private void ask(long begin, long count, long all, CountDownLatch over) {
-        long at = count;
-        while (at < all && begin + at * SECOND / perSecond <= System.nanoTime()) {
-            askOnce(begin + at * SECOND / perSecond);
-            at++;
+    private void sendDue(long start, long firstIndex, long total, CountDownLatch done) {
+        long index = firstIndex;
+        while (index < total
+                && start + index * NANOS_PER_SECOND / requestsPerSecond <= System.nanoTime()) {
+            sendOne(start + index * NANOS_PER_SECOND / requestsPerSecond);
+            index++;
         }
-        long further = at;
-        if (at < all) {
-            loop.schedule(begin + at * SECOND / perSecond, () -> ask(begin, further, all, over));
+        long nextIndex = index;
+        if (index < total) {
+            loop.schedule(
+                    start + index * NANOS_PER_SECOND / requestsPerSecond,
+                    () -> sendDue(start, nextIndex, total, done));
         } else {
-            loop.schedule(System.nanoTime() + SECOND, over::countDown);
+            loop.schedule(System.nanoTime() + NANOS_PER_SECOND, done::countDown);
         }
     }
 
-    private void askOnce(long due) {
+    private void sendOne(long dueNanos) {
         for (int i = 0; i < clients.size(); i++) {
-            AsyncClient client = clients.get(next++ % clients.size());
-            if (client.isFree()) {
-                client.read("a" + asked++, "k", WAITS_MS, due);
+            AsyncClient client = clients.get(nextClient++ % clients.size());
+            if (client.isIdle()) {
+                client.sendRead("a" + nextRequest++, "k", DEADLINE_MS, dueNanos);
                 return;
             }
         }
-        round.noneFree++;
+        result.notSent++;
     }
 
     @Override
--- a/lab/src/main/java/ironwind/lab/RouterProcess.java
+++ b/lab/src/main/java/ironwind/lab/RouterProcess.java
@@ -1,5 +1,6 @@
 package ironwind.lab;
 
+import ironwind.pg.Encoder;
 import java.io.File;
 import java.io.IOException;
 import java.net.InetAddress;
@@ -17,21 +18,21 @@
 import java.util.stream.Stream;
 
 /**
- * A router of some version, in a process of its own on one core, with what the system and the JVM
- * say of it.
+ * A router started from a given jar in a separate process, optionally pinned to one core, with
+ * resource figures read from {@code /proc} and {@code jcmd}.
  */
 final class RouterProcess implements AutoCloseable {
-    private static final int TICKS_A_SECOND = 100;
-    private static final long READY_MS = 30_000;
-    private static final double KILO = 1_024;
+    private static final int TICKS_PER_SECOND = 100;
+    private static final long READY_TIMEOUT_MS = 30_000;
+    private static final double BYTES_PER_KB = 1_024;
 
     /**
-     * The young generation has one size for all, else its size would be taken for that of what is
-     * kept.
+     * The young generation has a fixed size; otherwise its growth would be counted as memory
+     * retained by connections.
      */
-    private static final int YOUNG_MB = 16;
+    private static final int YOUNG_GENERATION_MB = 16;
 
-    private static final int LEAST_HEAP_MB = 32;
+    private static final int INITIAL_HEAP_MB = 32;
 
     private final Process process;
     final InetSocketAddress address;
@@ -41,26 +42,39 @@
         this.address = address;
     }
 
-    /** Starts one; {@code hcl} may be null. Its log goes to a file beside its configuration. */
+    /**
+     * Starts a router and waits until it is ready. Its start facts and log are written to {@code
+     * directory}.
+     *
+     * @param number distinguishes the routers of one run
+     * @param core CPU to pin the router to; negative for none
+     * @param hclFile installation settings; may be null
+     */
     static RouterProcess start(
-            Path jar, int number, int discovery, Path folder, int core, int heapMb, Path hcl)
+            Path jar,
+            int number,
+            int discoveryPort,
+            Path directory,
+            int core,
+            int heapMb,
+            Path hclFile)
             throws IOException, InterruptedException {
         int port = freePort();
-        Path config = folder.resolve("router-" + number + ".json");
-        Files.writeString(config, config(number, port, discovery, heapMb));
+        Path startFacts = directory.resolve("router-" + number + ".json");
+        Files.writeString(startFacts, startFactsJson(number, port, discoveryPort, heapMb));
         List<String> command =
                 new ArrayList<>(
                         core < 0 ? List.of() : List.of("taskset", "-c", Integer.toString(core)));
         command.addAll(
                 List.of(
-                        java(),
+                        javaExecutable(),
                         "-XX:+UseSerialGC",
                         "-XX:TieredStopAtLevel=1",
                         "-Dio.netty.jfr.enabled=false",
                         "-XX:-UsePerfData",
                         "-Xmx" + heapMb + "m",
-                        "-Xms" + LEAST_HEAP_MB + "m",
-                        "-Xmn" + YOUNG_MB + "m",
+                        "-Xms" + INITIAL_HEAP_MB + "m",
+                        "-Xmn" + YOUNG_GENERATION_MB + "m",
                         "-XX:MinHeapFreeRatio=10",
                         "-XX:MaxHeapFreeRatio=20",
                         "-XX:MaxDirectMemorySize=64m",
@@ -71,10 +85,10 @@
         ProcessBuilder builder =
                 new ProcessBuilder(command)
                         .redirectErrorStream(true)
-                        .redirectOutput(folder.resolve("router-" + number + ".log").toFile());
-        builder.environment().put("ROUTER_CONFIG", config.toString());
-        if (hcl != null) {
-            builder.environment().put("IRONWIND_HCL", hcl.toString());
+                        .redirectOutput(directory.resolve("router-" + number + ".log").toFile());
+        builder.environment().put("ROUTER_CONFIG", startFacts.toString());
+        if (hclFile != null) {
+            builder.environment().put("IRONWIND_HCL", hclFile.toString());
         }
         RouterProcess router =
                 new RouterProcess(builder.start(), new InetSocketAddress("127.0.0.1", port));
@@ -82,7 +96,7 @@
         return router;
     }
 
-    static String java() {
+    static String javaExecutable() {
         return Path.of(System.getProperty("java.home"), "bin", "java").toString();
     }
 
@@ -92,85 +106,96 @@
         }
     }
 
-    private static String config(int number, int port, int discovery, int memoryMb) {
+    private static String startFactsJson(int number, int port, int discoveryPort, int memoryMb) {
         return """
                 {"name":"lab%d","listen":"127.0.0.1:%d","discovery":"127.0.0.1:%d","seed":"%x",
                  "limits":{"cores":1.0,"memory_mb":%d,"sockets":100000},
                  "known":{"version":0,"full":true,"servers":[]},
-                 "settings":{"period_us":5000,"peers_total":1,"zones":["north"],"kinds":["plain"],"tenants":[],
+                 "settings":{"period_us":5000,"peers_total":1,"zones":["north"],"kinds":["plain"],
+                  "tenants":[],
                   "lanes":[{"name":"read","effect":"retryable","deadline_us":30000000,"goal_time_us":1000000,
                             "worth":2.0}],
                   "extra":{"read_level":["loose"],"when_behind":"off"},
-                  "caps":{"cancel":true,"may_probe":true,"parallel_tries":true,"most_tries":4,"retry_after":true,
-                          "max_retry_after_us":250000,"connect_timeout_us":1000000,"idle_close_us":300000000},
+                  "caps":{"cancel":true,"may_probe":true,"parallel_tries":true,"most_tries":4,
+                          "retry_after":true,"max_retry_after_us":250000,"connect_timeout_us":1000000,
+                          "idle_close_us":300000000},
                   "rules":{"answer_slack_us":20000,"drain_grace_us":500000},"prices":{"probe":0.01}}}
                 """
-                .formatted(number, port, discovery, number + 1, memoryMb);
+                .formatted(number, port, discoveryPort, number + 1, memoryMb);
     }
 
     private void awaitReady() throws IOException, InterruptedException {
-        long until = System.currentTimeMillis() + READY_MS;
-        while (System.currentTimeMillis() < until && process.isAlive()) {
+        long deadline = System.currentTimeMillis() + READY_TIMEOUT_MS;
+        while (System.currentTimeMillis() < deadline && process.isAlive()) {
             try (Socket socket = new Socket(address.getAddress(), address.getPort())) {
-                socket.setSoTimeout((int) READY_MS);
-                socket.getOutputStream().write(ironwind.pg.Encoder.startup("client", "core"));
-                socket.getOutputStream().write(ironwind.pg.Encoder.query(""));
+                socket.setSoTimeout((int) READY_TIMEOUT_MS);
+                socket.getOutputStream().write(Encoder.startup("client", "core"));
+                socket.getOutputStream().write(Encoder.query(""));
                 byte[] bytes = new byte[1_024];
-                String heard = "";
-                while (!heard.contains("I")) {
-                    int count = socket.getInputStream().read(bytes);
-                    if (count < 0) {
+                String response = "";
+                while (!response.contains("I")) {
+                    int length = socket.getInputStream().read(bytes);
+                    if (length < 0) {
                         break;
                     }
-                    heard =
-                            new String(bytes, 0, count, StandardCharsets.ISO_8859_1)
+                    response =
+                            new String(bytes, 0, length, StandardCharsets.ISO_8859_1)
                                             .contains("I\0\0\0\4")
                                     ? "I"
                                     : "";
                 }
-                if (!heard.isEmpty()) {
+                if (!response.isEmpty()) {
                     return;
                 }
-            } catch (IOException notYet) {
+            } catch (IOException notReady) {
                 Thread.sleep(50);
             }
         }
-        throw new IOException("a router did not become ready");
+        throw new IOException(
+                "the router at "
+                        + address
+                        + " exited or was not ready within "
+                        + READY_TIMEOUT_MS
+                        + " ms");
     }
 
     boolean isAlive() {
         return process.isAlive();
     }
 
-    /** CPU seconds used so far. */
+    /** Returns the user and system CPU seconds used so far. */
     double cpuSeconds() throws IOException {
-        String[] fields = Files.readString(proc("stat")).replaceAll(".*\\) ", "").split(" ");
-        return (Long.parseLong(fields[11]) + Long.parseLong(fields[12])) / (double) TICKS_A_SECOND;
+        String[] fields = Files.readString(procFile("stat")).replaceAll(".*\\) ", "").split(" ");
+        return (Long.parseLong(fields[11]) + Long.parseLong(fields[12]))
+                / (double) TICKS_PER_SECOND;
     }
 
-    /** Resident and, at its highest, in kibibytes. */
+    /** Returns the resident set size in KiB. */
     double residentKb() throws IOException {
-        return status("VmRSS:");
+        return statusKb("VmRSS:");
     }
 
-    double highestKb() throws IOException {
-        return status("VmHWM:");
+    /** Returns the highest resident set size so far in KiB. */
+    double peakResidentKb() throws IOException {
+        return statusKb("VmHWM:");
     }
 
-    private double status(String name) throws IOException {
-        try (Stream<String> lines = Files.lines(proc("status"))) {
+    private double statusKb(String field) throws IOException {
+        try (Stream<String> lines = Files.lines(procFile("status"))) {
             String line =
-                    lines.filter(each -> each.startsWith(name)).findFirst().orElse(name + " 0 kB");
+                    lines.filter(candidate -> candidate.startsWith(field))
+                            .findFirst()
+                            .orElse(field + " 0 kB");
             return Double.parseDouble(line.replaceAll("[^0-9]", ""));
         }
     }
 
-    private Path proc(String file) {
+    private Path procFile(String file) {
         return Path.of("/proc", Long.toString(process.pid()), file);
     }
 
-    /** Live bytes by class, after a full collection. */
-    Map<String, Long> liveBytes() throws IOException, InterruptedException {
+    /** Returns the bytes of live objects by class name, after a full collection. */
+    Map<String, Long> liveBytesByClass() throws IOException, InterruptedException {
         Map<String, Long> bytes = new HashMap<>();
         for (String line : jcmd("GC.class_histogram").split("\n")) {
             String[] words = line.trim().split("\\s+");
@@ -181,40 +206,40 @@
         return bytes;
     }
 
-    /** A full collection, after which the JVM gives back what it does not use. */
-    void collect() throws IOException, InterruptedException {
+    /** Runs a full collection, after which the JVM returns unused memory to the system. */
+    void collectGarbage() throws IOException, InterruptedException {
         jcmd("GC.run");
     }
 
-    private String jcmd(String order) throws IOException, InterruptedException {
-        File out = File.createTempFile("jcmd", ".txt");
+    private String jcmd(String command) throws IOException, InterruptedException {
+        File output = File.createTempFile("jcmd", ".txt");
         try {
-            Process run =
+            Process jcmd =
                     new ProcessBuilder(
                                     Path.of(System.getProperty("java.home"), "bin", "jcmd")
                                             .toString(),
                                     Long.toString(process.pid()),
-                                    order)
+                                    command)
                             .redirectErrorStream(true)
-                            .redirectOutput(out)
+                            .redirectOutput(output)
                             .start();
-            run.waitFor(60, TimeUnit.SECONDS);
-            return Files.readString(out.toPath());
+            jcmd.waitFor(60, TimeUnit.SECONDS);
+            return Files.readString(output.toPath());
         } finally {
-            Files.delete(out.toPath());
+            Files.delete(output.toPath());
         }
     }
 
-    static double sum(Map<String, Long> bytes) {
-        return bytes.values().stream().mapToLong(Long::longValue).sum() / KILO;
+    static double totalKb(Map<String, Long> bytesByClass) {
+        return bytesByClass.values().stream().mapToLong(Long::longValue).sum() / BYTES_PER_KB;
     }
 
-    /** Asks it to end, and tells how long that took; negative where it had to be killed. */
-    double end() throws InterruptedException {
-        long begun = System.nanoTime();
+    /** Sends SIGTERM and returns the seconds until exit; -1 if it did not exit within 60 s. */
+    double terminate() throws InterruptedException {
+        long startNanos = System.nanoTime();
         process.destroy();
-        boolean ended = process.waitFor(60, TimeUnit.SECONDS);
-        return ended ? (System.nanoTime() - begun) / 1e9 : -1;
+        boolean exited = process.waitFor(60, TimeUnit.SECONDS);
+        return exited ? (System.nanoTime() - startNanos) / 1e9 : -1;
     }
 
     @Override
--- a/lab/src/main/java/ironwind/lab/SocketBenchmark.java
+++ b/lab/src/main/java/ironwind/lab/SocketBenchmark.java
@@ -25,91 +25,93 @@
 import java.util.concurrent.CountDownLatch;
 
 /**
- * Live heap of one accepted connection that is read from, by what stands between the system's
- * socket and its owner.
+ * Measures the live heap of one accepted connection, by the layer of the I/O libraries that it is
+ * used through.
  */
 public final class SocketBenchmark {
-    private static final long SETTLED_MS = 300;
-    private static final int WARMING = 100;
+    private static final long GC_SETTLE_MS = 300;
+    private static final int WARM_UP_CONNECTIONS = 100;
 
     private final PrintStream out;
 
+    /** Creates a benchmark that prints its result to {@code out}. */
     public SocketBenchmark(PrintStream out) {
         this.out = out;
     }
 
-    /** A server that holds what it accepted until it is ended. */
-    private record Running(int port, AutoCloseable end) {}
+    /** A server that holds its accepted connections until it is shut down. */
+    private record RunningServer(int port, AutoCloseable shutdown) {}
 
-    /** Lets connections in, and tells of each. */
+    /** Starts accepting connections; counts down the latch for each. */
     private interface Server {
-        Running begin(CountDownLatch accepted) throws Exception;
+        RunningServer start(CountDownLatch accepted) throws Exception;
     }
 
-    /** What stands between the system's socket and its owner. */
-    public enum Way {
-        /** Accepted, and nothing more. */
+    /** The layer through which an accepted connection is used. */
+    public enum Layer {
+        /** An accepted NIO channel, not registered with a selector. */
         BARE,
-        /** A plain channel on the loop's handle. */
+        /** An NIO channel registered with a Netty event loop through an I/O handle. */
         HANDLE,
-        /** A Netty channel with one handler. */
+        /** A Netty channel with one handler in its pipeline. */
         CHANNEL,
         /** A Vert.x socket with one handler. */
         VERTX
     }
 
     /**
-     * Prints the bytes of live heap of a connection, both ends, in this way; one way a process, as
-     * each leaves traces.
+     * Prints the bytes of live heap per connection, both ends included. Measure only one layer per
+     * process, because each leaves allocations behind.
      */
-    public void run(Way way, int connections) throws Exception {
+    public void run(Layer layer, int connections) throws Exception {
         Server server =
-                switch (way) {
+                switch (layer) {
                     case BARE -> this::bare;
                     case HANDLE -> this::handle;
                     case CHANNEL -> this::channel;
                     case VERTX -> this::vertx;
                 };
-        // Played once before, so that no class is loaded while it counts.
-        measure(server, WARMING);
-        out.printf("%-8s %8.0f bytes a connection, both ends%n", way, measure(server, connections));
+        // Warm-up run, so that no classes are loaded during the measurement.
+        measure(server, WARM_UP_CONNECTIONS);
+        out.printf(
+                "%-8s %8.0f bytes per connection, both ends%n",
+                layer, measure(server, connections));
     }
 
     private double measure(Server server, int connections) throws Exception {
         CountDownLatch accepted = new CountDownLatch(connections);
-        Running running = server.begin(accepted);
+        RunningServer running = server.start(accepted);
         List<java.nio.channels.SocketChannel> clients = new ArrayList<>(connections);
-        long before = used();
+        long heapBefore = usedHeap();
         for (int i = 0; i < connections; i++) {
             clients.add(
                     java.nio.channels.SocketChannel.open(
                             new InetSocketAddress("127.0.0.1", running.port)));
         }
         accepted.await();
-        double each = (used() - before) / (double) connections;
+        double bytesEach = (usedHeap() - heapBefore) / (double) connections;
         for (java.nio.channels.SocketChannel client : clients) {
             client.close();
         }
-        running.end.close();
-        return each;
+        running.shutdown.close();
+        return bytesEach;
     }
 
-    private static long used() throws InterruptedException {
+    private static long usedHeap() throws InterruptedException {
         for (int i = 0; i < 3; i++) {
             System.gc();
-            Thread.sleep(SETTLED_MS);
+            Thread.sleep(GC_SETTLE_MS);
         }
         return Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory();
     }
 
-    /** Accepted, and nothing more. */
-    private Running bare(CountDownLatch accepted) throws IOException {
+    private RunningServer bare(CountDownLatch accepted) throws IOException {
         ServerSocketChannel server =
                 ServerSocketChannel.open().bind(new InetSocketAddress("127.0.0.1", 0), 4_096);
         return accept(server, channel -> {}, accepted);
     }
 
-    private Running handle(CountDownLatch accepted) throws IOException {
+    private RunningServer handle(CountDownLatch accepted) throws IOException {
         IoEventLoop loop =
                 (IoEventLoop) new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
         ServerSocketChannel server =
@@ -118,7 +120,7 @@
                 server,
                 channel -> {
                     channel.configureBlocking(false);
-                    loop.register(new Handle(channel))
+                    loop.register(new ClosingHandle(channel))
                             .addListener(
                                     result ->
                                             ((io.netty.channel.IoRegistration) result.getNow())
@@ -127,9 +129,9 @@
                 accepted);
     }
 
-    private static final class Handle
+    private static final class ClosingHandle
             extends NioSelectableChannelIoHandle<java.nio.channels.SocketChannel> {
-        private Handle(java.nio.channels.SocketChannel channel) {
+        private ClosingHandle(java.nio.channels.SocketChannel channel) {
             super(channel);
         }
 
@@ -137,27 +139,27 @@
         protected void handle(java.nio.channels.SocketChannel channel, SelectionKey key) {
             try {
                 channel.close();
-            } catch (IOException gone) {
-                // all there was to do
+            } catch (IOException alreadyClosed) {
+                // Nothing else to release.
             }
         }
     }
 
-    private interface Taker {
-        void take(java.nio.channels.SocketChannel channel) throws IOException;
+    private interface ChannelConsumer {
+        void accept(java.nio.channels.SocketChannel channel) throws IOException;
     }
 
-    private static Running accept(
-            ServerSocketChannel server, Taker taker, CountDownLatch accepted) {
-        List<java.nio.channels.SocketChannel> kept = new ArrayList<>((int) accepted.getCount());
+    private static RunningServer accept(
+            ServerSocketChannel server, ChannelConsumer consumer, CountDownLatch accepted) {
+        List<java.nio.channels.SocketChannel> channels = new ArrayList<>((int) accepted.getCount());
         Thread thread =
                 new Thread(
                         () -> {
                             try {
                                 while (accepted.getCount() > 0) {
                                     java.nio.channels.SocketChannel channel = server.accept();
-                                    kept.add(channel);
-                                    taker.take(channel);
+                                    channels.add(channel);
+                                    consumer.accept(channel);
                                     accepted.countDown();
                                 }
                             } catch (IOException e) {
@@ -167,24 +169,24 @@
                         "acceptor");
         thread.setDaemon(true);
         thread.start();
-        return new Running(
+        return new RunningServer(
                 server.socket().getLocalPort(),
                 () -> {
-                    for (java.nio.channels.SocketChannel channel : kept) {
+                    for (java.nio.channels.SocketChannel channel : channels) {
                         channel.close();
                     }
-                    kept.clear();
+                    channels.clear();
                     server.close();
                 });
     }
 
-    private Running channel(CountDownLatch accepted) throws InterruptedException {
-        MultiThreadIoEventLoopGroup loops =
+    private RunningServer channel(CountDownLatch accepted) throws InterruptedException {
+        MultiThreadIoEventLoopGroup eventLoops =
                 new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         int port =
                 ((InetSocketAddress)
                                 new ServerBootstrap()
-                                        .group(loops)
+                                        .group(eventLoops)
                                         .channel(NioServerSocketChannel.class)
                                         .childHandler(
                                                 new ChannelInitializer<SocketChannel>() {
@@ -213,13 +215,13 @@
                                         .channel()
                                         .localAddress())
                         .getPort();
-        return new Running(port, () -> loops.shutdownGracefully().sync());
+        return new RunningServer(port, () -> eventLoops.shutdownGracefully().sync());
     }
 
-    private Running vertx(CountDownLatch accepted) throws IOException {
+    private RunningServer vertx(CountDownLatch accepted) throws IOException {
         int port;
-        try (ServerSocket free = new ServerSocket(0)) {
-            port = free.getLocalPort();
+        try (ServerSocket probe = new ServerSocket(0)) {
+            port = probe.getLocalPort();
         }
         Vertx vertx = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(1));
         vertx.createNetServer()
@@ -230,6 +232,6 @@
                         })
                 .listen(port, "127.0.0.1")
                 .await();
-        return new Running(port, () -> vertx.close().await());
+        return new RunningServer(port, () -> vertx.close().await());
     }
 }
--- a/lab/src/main/java/ironwind/lab/package-info.java
+++ b/lab/src/main/java/ironwind/lab/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Load, experiments and measurements, played from outside the router: over sockets, or on the
- * deciding classes.
+ * Load generators and benchmarks. They drive a router from outside over sockets, or call its
+ * decision classes directly.
  */
 package ironwind.lab;
--- a/lab/src/test/java/ironwind/lab/IdleRouterTest.java
+++ b/lab/src/test/java/ironwind/lab/IdleRouterTest.java
@@ -4,7 +4,7 @@
 
 import io.vertx.core.Future;
 import io.vertx.core.json.JsonObject;
-import ironwind.lab.AsyncClient.Answer;
+import ironwind.lab.AsyncClient.Outcome;
 import ironwind.net.Log;
 import ironwind.net.Router;
 import ironwind.pg.Encoder;
@@ -142,22 +142,22 @@
 
     /** Many connections that a loop of their own holds; each has been served once. */
     private List<AsyncClient> crowd(
-            int count, Map<Answer, Integer> answers, CountDownLatch answered) throws Exception {
+            int count, Map<Outcome, Integer> answers, CountDownLatch answered) throws Exception {
         CountDownLatch up = new CountDownLatch(count);
         List<AsyncClient> clients = new ArrayList<>();
         AsyncClient.Listener listener =
                 new AsyncClient.Listener() {
                     @Override
-                    public void greeted(AsyncClient client) {
-                        client.read("up-" + asked++, "k", 8_000, 0);
+                    public void ready(AsyncClient client) {
+                        client.sendRead("up-" + asked++, "k", 8_000, 0);
                     }
 
                     @Override
-                    public void answered(AsyncClient client, Answer answer, long at) {
+                    public void completed(AsyncClient client, Outcome outcome, long startNanos) {
                         if (up.getCount() > 0) {
                             up.countDown();
                         } else {
-                            answers.merge(answer, 1, Integer::sum);
+                            answers.merge(outcome, 1, Integer::sum);
                             answered.countDown();
                         }
                     }
@@ -191,21 +191,24 @@
                         + crowdTime
                         + "\"\nactive_time = \"100ms\"");
         int count = 1_000;
-        Map<Answer, Integer> answers = new EnumMap<>(Answer.class);
+        Map<Outcome, Integer> answers = new EnumMap<>(Outcome.class);
         CountDownLatch answered = new CountDownLatch(count);
         List<AsyncClient> crowd = crowd(count, answers, answered);
         Thread.sleep(150);
         BlockingClient active = known();
-        loop.execute(() -> crowd.forEach(client -> client.read("wake-" + asked++, "k", 8_000, 0)));
+        loop.execute(
+                () -> crowd.forEach(client -> client.sendRead("wake-" + asked++, "k", 8_000, 0)));
         while (answered.getCount() > 0) {
             assertThat(active.read("active-" + asked++)).isEqualTo("ok");
         }
-        assertThat(answers.getOrDefault(Answer.OK, 0) + answers.getOrDefault(Answer.PUSHED_BACK, 0))
+        assertThat(
+                        answers.getOrDefault(Outcome.OK, 0)
+                                + answers.getOrDefault(Outcome.PUSHED_BACK, 0))
                 .isEqualTo(count);
         if (what.startsWith("all")) {
-            assertThat(answers).containsEntry(Answer.OK, count);
+            assertThat(answers).containsEntry(Outcome.OK, count);
         } else {
-            assertThat(answers).containsKey(Answer.PUSHED_BACK);
+            assertThat(answers).containsKey(Outcome.PUSHED_BACK);
             assertThat(active.shown("idle", "turns_too_late")).isPositive();
         }
         assertThat(active.shown("idle", "most_waiting_for_turn")).isPositive();
@@ -219,12 +222,12 @@
         begin("owed_all = \"2MiB\"\nowed_each = \"128KiB\"\nslow_reader_time = \"300ms\"");
         BlockingClient other = known();
         int count = 60;
-        List<AsyncClient> slow = crowd(count, new EnumMap<>(Answer.class), new CountDownLatch(1));
+        List<AsyncClient> slow = crowd(count, new EnumMap<>(Outcome.class), new CountDownLatch(1));
         loop.execute(
                 () ->
                         slow.forEach(
                                 client ->
-                                        client.readDeaf(
+                                        client.sendReadsPaused(
                                                 "deaf-" + asked++, "big-65536", 8_000, 90)));
         long most = 0;
         long ended = 0;
@@ -326,7 +329,7 @@
     @Test
     void whenAskedToEndTheIdleGoAndTheBusyAreAnswered() throws Exception {
         begin("");
-        crowd(600, new EnumMap<>(Answer.class), new CountDownLatch(1));
+        crowd(600, new EnumMap<>(Outcome.class), new CountDownLatch(1));
         BlockingClient asking = known();
         BlockingClient idle = known();
         Future<Void> drained = router.drain();
