--- a/lab/src/test/java/ironwind/lab/BlockingClient.java
+++ b/lab/src/test/java/ironwind/lab/BlockingClient.java
@@ -13,14 +13,14 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** One client that writes and waits, as a test tells it to. */
+/** A client with a blocking socket that sends requests and reads responses one at a time. */
 final class BlockingClient implements AutoCloseable {
-    private static final int PATIENCE_MS = 8_000;
+    private static final int READ_TIMEOUT_MS = 8_000;
 
     final Socket socket = new Socket();
     private final Frames frames = new Frames(false, HostMessage.TYPES, 1 << 20);
 
-    /** First and second value of each row of the last answer. */
+    /** The first and second values of each row of the last response. */
     final Map<String, String> rows = new TreeMap<>();
 
     BlockingClient(int port) throws IOException {
@@ -28,16 +28,16 @@
     }
 
     BlockingClient(int port, String from) throws IOException {
-        socket.setSoTimeout(PATIENCE_MS);
+        socket.setSoTimeout(READ_TIMEOUT_MS);
         socket.setTcpNoDelay(true);
         socket.bind(new InetSocketAddress(InetAddress.getByName(from), 0));
         socket.connect(new InetSocketAddress("127.0.0.1", port));
     }
 
-    /** Starts up; the answer to it, as {@link #answer} gives it. */
-    String greet() throws IOException {
+    /** Sends the startup message and returns the response, as {@link #readResponse} does. */
+    String startUp() throws IOException {
         send(Encoder.startup("client", "core"));
-        return answer();
+        return readResponse();
     }
 
     void send(byte[]... messages) throws IOException {
@@ -46,7 +46,7 @@
         }
     }
 
-    void ask(String id, String method, String customer, String key) throws IOException {
+    void sendRead(String id, String method, String customer, String key) throws IOException {
         send(
                 Encoder.query(
                         "/* id="
@@ -64,61 +64,62 @@
     }
 
     String read(String id) throws IOException {
-        ask(id, "read", "one", "k");
-        return answer();
+        sendRead(id, "read", "one", "k");
+        return readResponse();
     }
 
-    Map<String, String> show(String what) throws IOException {
-        send(Encoder.query("SHOW " + what));
-        answer();
+    Map<String, String> show(String table) throws IOException {
+        send(Encoder.query("SHOW " + table));
+        readResponse();
         return rows;
     }
 
-    long shown(String what, String name) throws IOException {
-        return Long.parseLong(show(what).get(name));
+    long showValue(String table, String name) throws IOException {
+        return Long.parseLong(show(table).get(name));
     }
 
     /**
-     * {@code ok}, {@code E} with code and detail, {@code ready}; {@code closed} behind it where it
-     * was.
+     * Reads up to ReadyForQuery and returns {@code ok} if there was a row, {@code E} with SQLSTATE
+     * and detail if there was an error, and {@code ready} otherwise. If the connection was closed
+     * first, returns {@code closed}, after the error if there was one.
      */
-    String answer() throws IOException {
+    String readResponse() throws IOException {
         rows.clear();
-        boolean row = false;
+        boolean rowReceived = false;
         String error = "";
         byte[] buffer = new byte[8_192];
         while (true) {
             for (Frame frame = frames.next(); frame != null; frame = frames.next()) {
                 if (frame.type() == 'D') {
-                    row = true;
-                    values(frame.body());
+                    rowReceived = true;
+                    addRow(frame.body());
                 } else if (frame.type() == 'E'
                         && HostMessage.decode(frame) instanceof HostMessage.Failed failed) {
                     String detail = failed.failure().detail();
                     error = "E" + failed.failure().code() + (detail == null ? "" : " " + detail);
                 } else if (frame.type() == 'Z') {
-                    return error.isEmpty() ? row ? "ok" : "ready" : error;
+                    return error.isEmpty() ? rowReceived ? "ok" : "ready" : error;
                 }
             }
-            int count = socket.getInputStream().read(buffer);
-            if (count < 0) {
+            int length = socket.getInputStream().read(buffer);
+            if (length < 0) {
                 return (error + " closed").strip();
             }
-            frames.add(Arrays.copyOf(buffer, count));
+            frames.add(Arrays.copyOf(buffer, length));
         }
     }
 
-    private void values(byte[] body) {
+    private void addRow(byte[] body) {
         String[] values = new String[2];
-        int at = 2;
+        int offset = 2;
         for (int i = 0; i < Math.min(body[1], 2); i++) {
             int length =
-                    (body[at] & 0xff) << 24
-                            | (body[at + 1] & 0xff) << 16
-                            | (body[at + 2] & 0xff) << 8
-                            | body[at + 3] & 0xff;
-            values[i] = new String(body, at + 4, length, StandardCharsets.UTF_8);
-            at += 4 + length;
+                    (body[offset] & 0xff) << 24
+                            | (body[offset + 1] & 0xff) << 16
+                            | (body[offset + 2] & 0xff) << 8
+                            | body[offset + 3] & 0xff;
+            values[i] = new String(body, offset + 4, length, StandardCharsets.UTF_8);
+            offset += 4 + length;
         }
         rows.put(values[0], String.valueOf(values[1]));
     }
--- a/lab/src/test/java/ironwind/lab/IdleRouterTest.java
+++ b/lab/src/test/java/ironwind/lab/IdleRouterTest.java
@@ -35,8 +35,8 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * What befalls many connections, caused on sockets between a router and stand-ins, and counted at
- * the far side.
+ * Connection limits and overload, tested over sockets with a router between clients and stand-in
+ * hosts. Executions are counted at the hosts.
  */
 @Timeout(value = 30, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class IdleRouterTest {
@@ -51,13 +51,13 @@
                      "max_retry_after_us":250000,"connect_timeout_us":1000000,"idle_close_us":60000000},
              "rules":{"answer_slack_us":20000,"drain_grace_us":500000},"prices":{"probe":0.01}}""";
 
-    @TempDir private Path folder;
-    private final List<AutoCloseable> opened = new ArrayList<>();
+    @TempDir private Path directory;
+    private final List<AutoCloseable> openClients = new ArrayList<>();
     private EventLoop loop;
     private StandInHost primary;
     private StandInDiscovery discovery;
     private Router router;
-    private int asked;
+    private int nextRequest;
 
     @BeforeEach
     void startHosts() throws IOException {
@@ -68,16 +68,16 @@
 
     @AfterEach
     void stop() throws Exception {
-        for (AutoCloseable each : opened) {
-            each.close();
+        for (AutoCloseable closeable : openClients) {
+            closeable.close();
         }
         router.stop().await(10, TimeUnit.SECONDS);
         discovery.close();
         loop.close();
     }
 
-    /** Begins a router whose block {@code idle} has these lines. */
-    private void begin(String idle) throws Exception {
+    /** Starts a router with the given lines in the {@code idle} block of its settings. */
+    private void startRouter(String idleSettings) throws Exception {
         StartFacts facts =
                 StartFacts.read(
                         new JsonObject()
@@ -99,38 +99,38 @@
                                                 .put(
                                                         "servers",
                                                         new io.vertx.core.json.JsonArray())));
-        Path file = folder.resolve("i.hcl");
-        Files.writeString(file, "idle {\n" + idle + "\n}\n");
+        Path config = directory.resolve("i.hcl");
+        Files.writeString(config, "idle {\n" + idleSettings + "\n}\n");
         router =
                 new Router(
                                 facts,
-                                Installation.read(file, facts.idleLimits()),
+                                Installation.read(config, facts.idleLimits()),
                                 new Log(new PrintStream(PrintStream.nullOutputStream())))
                         .unrehearsed();
         router.start().await(10, TimeUnit.SECONDS);
-        BlockingClient first = talk();
-        first.greet();
+        BlockingClient first = connect();
+        first.startUp();
         first.send(Encoder.query(""));
-        assertThat(first.answer()).isEqualTo("ready");
+        assertThat(first.readResponse()).isEqualTo("ready");
         first.close();
     }
 
-    private BlockingClient talk() throws IOException {
-        return talk("127.0.0.1");
+    private BlockingClient connect() throws IOException {
+        return connect("127.0.0.1");
     }
 
-    private BlockingClient talk(String from) throws IOException {
-        BlockingClient talk = new BlockingClient(router.port(), from);
-        opened.add(talk);
-        return talk;
+    private BlockingClient connect(String from) throws IOException {
+        BlockingClient client = new BlockingClient(router.port(), from);
+        openClients.add(client);
+        return client;
     }
 
-    /** One that has been served. */
-    private BlockingClient known() throws IOException {
-        BlockingClient talk = talk();
-        assertThat(talk.greet()).isEqualTo("ready");
-        assertThat(talk.read("known-" + asked++)).isEqualTo("ok");
-        return talk;
+    /** Connects a client and has it served once. */
+    private BlockingClient servedClient() throws IOException {
+        BlockingClient client = connect();
+        assertThat(client.startUp()).isEqualTo("ready");
+        assertThat(client.read("served-" + nextRequest++)).isEqualTo("ok");
+        return client;
     }
 
     private static byte[] write(String id) {
@@ -140,25 +140,25 @@
                         + ",c=write,d=4000,cluster=0,t=one */ INSERT INTO state (uid) VALUES ('k')");
     }
 
-    /** Many connections that a loop of their own holds; each has been served once. */
-    private List<AsyncClient> crowd(
-            int count, Map<Outcome, Integer> answers, CountDownLatch answered) throws Exception {
-        CountDownLatch up = new CountDownLatch(count);
+    /** Connects clients on the event loop and has each served once; later outcomes are counted. */
+    private List<AsyncClient> connectServedClients(
+            int count, Map<Outcome, Integer> outcomes, CountDownLatch completed) throws Exception {
+        CountDownLatch ready = new CountDownLatch(count);
         List<AsyncClient> clients = new ArrayList<>();
         AsyncClient.Listener listener =
                 new AsyncClient.Listener() {
                     @Override
                     public void ready(AsyncClient client) {
-                        client.sendRead("up-" + asked++, "k", 8_000, 0);
+                        client.sendRead("up-" + nextRequest++, "k", 8_000, 0);
                     }
 
                     @Override
                     public void completed(AsyncClient client, Outcome outcome, long startNanos) {
-                        if (up.getCount() > 0) {
-                            up.countDown();
+                        if (ready.getCount() > 0) {
+                            ready.countDown();
                         } else {
-                            answers.merge(outcome, 1, Integer::sum);
-                            answered.countDown();
+                            outcomes.merge(outcome, 1, Integer::sum);
+                            completed.countDown();
                         }
                     }
                 };
@@ -173,153 +173,156 @@
                                         listener));
                     }
                 });
-        up.await();
+        ready.await();
         return clients;
     }
 
     /**
-     * Guards against a crowd that wakes at once and takes its RPCs, or those of active clients,
-     * along.
+     * Guards against lost RPCs, of idle or of active clients, when all idle clients send a request
+     * at the same time.
      */
-    @ParameterizedTest(name = "turns of {0} open RPCs, {1} to wait: {2}")
+    @ParameterizedTest(name = "{0} open RPCs, {1} to wait for a turn: {2}")
     @CsvSource({"16, 8s, all are served", "4, 1ms, some are pushed back"})
-    void whenAllWakeEachGetsItsOneAnswer(int open, String crowdTime, String what) throws Exception {
-        begin(
+    void everyClientGetsOneResponseWhenAllSendAtOnce(
+            int openRpcs, String crowdTime, String expectation) throws Exception {
+        startRouter(
                 "open_rpcs = "
-                        + open
+                        + openRpcs
                         + "\ncrowd_time = \""
                         + crowdTime
                         + "\"\nactive_time = \"100ms\"");
         int count = 1_000;
-        Map<Outcome, Integer> answers = new EnumMap<>(Outcome.class);
-        CountDownLatch answered = new CountDownLatch(count);
-        List<AsyncClient> crowd = crowd(count, answers, answered);
+        Map<Outcome, Integer> outcomes = new EnumMap<>(Outcome.class);
+        CountDownLatch completed = new CountDownLatch(count);
+        List<AsyncClient> clients = connectServedClients(count, outcomes, completed);
         Thread.sleep(150);
-        BlockingClient active = known();
+        BlockingClient active = servedClient();
         loop.execute(
-                () -> crowd.forEach(client -> client.sendRead("wake-" + asked++, "k", 8_000, 0)));
-        while (answered.getCount() > 0) {
-            assertThat(active.read("active-" + asked++)).isEqualTo("ok");
+                () ->
+                        clients.forEach(
+                                client -> client.sendRead("wake-" + nextRequest++, "k", 8_000, 0)));
+        while (completed.getCount() > 0) {
+            assertThat(active.read("active-" + nextRequest++)).isEqualTo("ok");
         }
         assertThat(
-                        answers.getOrDefault(Outcome.OK, 0)
-                                + answers.getOrDefault(Outcome.PUSHED_BACK, 0))
+                        outcomes.getOrDefault(Outcome.OK, 0)
+                                + outcomes.getOrDefault(Outcome.PUSHED_BACK, 0))
                 .isEqualTo(count);
-        if (what.startsWith("all")) {
-            assertThat(answers).containsEntry(Outcome.OK, count);
+        if (expectation.startsWith("all")) {
+            assertThat(outcomes).containsEntry(Outcome.OK, count);
         } else {
-            assertThat(answers).containsKey(Outcome.PUSHED_BACK);
-            assertThat(active.shown("idle", "turns_too_late")).isPositive();
+            assertThat(outcomes).containsKey(Outcome.PUSHED_BACK);
+            assertThat(active.showValue("idle", "turns_too_late")).isPositive();
         }
-        assertThat(active.shown("idle", "most_waiting_for_turn")).isPositive();
-        assertThat(active.shown("idle", "waiting_for_turn")).isZero();
-        assertThat(active.shown("memory", "open")).isZero();
+        assertThat(active.showValue("idle", "most_waiting_for_turn")).isPositive();
+        assertThat(active.showValue("idle", "waiting_for_turn")).isZero();
+        assertThat(active.showValue("memory", "open")).isZero();
     }
 
-    /** Guards against memory that follows the number of clients that ask and do not read. */
+    /** Guards against memory use that grows with the number of clients that do not read. */
     @Test
-    void slowReadersAreEndedAndOthersServed() throws Exception {
-        begin("owed_all = \"2MiB\"\nowed_each = \"128KiB\"\nslow_reader_time = \"300ms\"");
-        BlockingClient other = known();
+    void slowReadersAreClosedAndOthersAreServed() throws Exception {
+        startRouter("owed_all = \"2MiB\"\nowed_each = \"128KiB\"\nslow_reader_time = \"300ms\"");
+        BlockingClient other = servedClient();
         int count = 60;
-        List<AsyncClient> slow = crowd(count, new EnumMap<>(Outcome.class), new CountDownLatch(1));
+        List<AsyncClient> slow =
+                connectServedClients(count, new EnumMap<>(Outcome.class), new CountDownLatch(1));
         loop.execute(
                 () ->
                         slow.forEach(
                                 client ->
                                         client.sendReadsPaused(
-                                                "deaf-" + asked++, "big-65536", 8_000, 90)));
-        long most = 0;
-        long ended = 0;
-        while (ended < count) {
-            assertThat(other.read("other-" + asked++)).isEqualTo("ok");
-            most = Math.max(most, other.shown("memory", "owed"));
-            ended =
-                    other.shown("idle", "ended_slow_reader")
-                            + other.shown("idle", "ended_owed_too_much");
+                                                "slow-" + nextRequest++, "big-65536", 8_000, 90)));
+        long maxOwed = 0;
+        long closed = 0;
+        while (closed < count) {
+            assertThat(other.read("other-" + nextRequest++)).isEqualTo("ok");
+            maxOwed = Math.max(maxOwed, other.showValue("memory", "owed"));
+            closed =
+                    other.showValue("idle", "ended_slow_reader")
+                            + other.showValue("idle", "ended_owed_too_much");
         }
-        assertThat(most).isBetween(1L, (2L << 20) + (1 << 18));
-        assertThat(other.shown("memory", "owed")).isZero();
-        assertThat(other.shown("clients", "served") + other.shown("clients", "busy"))
+        assertThat(maxOwed).isBetween(1L, (2L << 20) + (1 << 18));
+        assertThat(other.showValue("memory", "owed")).isZero();
+        assertThat(other.showValue("clients", "served") + other.showValue("clients", "busy"))
                 .isLessThanOrEqualTo(1);
     }
 
-    /** Guards against an answer that was cut short and looks whole. */
+    /** Guards against a truncated response that looks complete to the client. */
     @Test
-    void aHalfWrittenAnswerIsSeenToBeIncomplete() throws Exception {
-        begin("owed_all = \"2MiB\"\nowed_each = \"128KiB\"\nslow_reader_time = \"300ms\"");
-        BlockingClient other = known();
-        BlockingClient slow = talk();
-        slow.greet();
-        int asks = 400;
-        for (int i = 0; i < asks; i++) {
-            slow.ask("slow-" + i, "read", "one", "big-65536");
+    void partiallyWrittenResponseIsSeenAsIncomplete() throws Exception {
+        startRouter("owed_all = \"2MiB\"\nowed_each = \"128KiB\"\nslow_reader_time = \"300ms\"");
+        BlockingClient other = servedClient();
+        BlockingClient slow = connect();
+        slow.startUp();
+        int requests = 400;
+        for (int i = 0; i < requests; i++) {
+            slow.sendRead("slow-" + i, "read", "one", "big-65536");
         }
-        while (other.shown("idle", "ended_slow_reader") == 0) {
+        while (other.showValue("idle", "ended_slow_reader") == 0) {
             Thread.sleep(20);
         }
-        int whole = 0;
-        String last = "";
+        int complete = 0;
+        String response = "";
         try {
-            for (last = slow.answer(); last.equals("ok"); last = slow.answer()) {
-                whole++;
+            for (response = slow.readResponse();
+                    response.equals("ok");
+                    response = slow.readResponse()) {
+                complete++;
             }
         } catch (IOException reset) {
-            last = "closed";
+            response = "closed";
         }
-        assertThat(last).isEqualTo("closed");
-        assertThat(whole).isLessThan(asks);
+        assertThat(response).isEqualTo("closed");
+        assertThat(complete).isLessThan(requests);
     }
 
-    /** Guards against connections that come in a storm and push out those that carry something. */
+    /** Guards against a burst of new connections that evicts connections in use. */
     @Test
-    void aStormMeetsAFullHouse() throws Exception {
-        begin("connections = 20\nmessage_time = \"20s\"");
+    void newConnectionsAreRefusedWhileAllAreBusy() throws Exception {
+        startRouter("connections = 20\nmessage_time = \"20s\"");
         List<BlockingClient> busy = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
-            busy.add(known());
+            busy.add(servedClient());
         }
         for (int i = 0; i < 20; i++) {
-            // A message that has begun: this one never gives way.
+            // A connection with a partial message is never evicted.
             busy.get(i).send(Arrays.copyOf(write("w" + i), 20));
         }
         Thread.sleep(50);
-        List<BlockingClient> storm = new ArrayList<>();
+        List<BlockingClient> newClients = new ArrayList<>();
         for (int i = 0; i < 300; i++) {
-            storm.add(talk());
+            newClients.add(connect());
         }
-        for (BlockingClient talk : storm) {
-            assertThat(talk.answer()).isEqualTo("E53300 250 closed");
+        for (BlockingClient client : newClients) {
+            assertThat(client.readResponse()).isEqualTo("E53300 250 closed");
         }
         for (int i = 0; i < 20; i++) {
-            byte[] whole = write("w" + i);
-            busy.get(i).send(Arrays.copyOfRange(whole, 20, whole.length));
-            assertThat(busy.get(i).answer()).isEqualTo("ok");
+            byte[] message = write("w" + i);
+            busy.get(i).send(Arrays.copyOfRange(message, 20, message.length));
+            assertThat(busy.get(i).readResponse()).isEqualTo("ok");
         }
-        assertThat(busy.get(0).shown("idle", "ended_all_busy")).isEqualTo(300);
-        BlockingClient late = known();
-        assertThat(late.shown("idle", "ended_gave_way")).isEqualTo(1);
+        assertThat(busy.get(0).showValue("idle", "ended_all_busy")).isEqualTo(300);
+        BlockingClient newcomer = servedClient();
+        assertThat(newcomer.showValue("idle", "ended_gave_way")).isEqualTo(1);
         assertThat(primary.executionCounts()).hasSize(20).doesNotContainValue(2);
     }
 
-    /**
-     * Guards against the loss of an RPC whose client wrote it just as its connection was to give
-     * way.
-     */
+    /** Guards against the loss of an RPC that was sent just as its connection was evicted. */
     @Test
-    void whoWakesAsItIsToGiveWayIsServed() throws Exception {
-        begin("connections = 1");
-        BlockingClient inside = known();
+    void requestSentDuringEvictionIsServed() throws Exception {
+        startRouter("connections = 1");
+        BlockingClient current = servedClient();
         for (int i = 0; i < 25; i++) {
-            inside.send(write("last-" + i));
-            BlockingClient next = talk();
-            assertThat(inside.answer()).isEqualTo("ok");
-            String greeting = next.greet();
-            if (greeting.equals("ready")) {
-                inside.close();
-                inside = next;
+            current.send(write("last-" + i));
+            BlockingClient next = connect();
+            assertThat(current.readResponse()).isEqualTo("ok");
+            String result = next.startUp();
+            if (result.equals("ready")) {
+                current.close();
+                current = next;
             } else {
-                assertThat(greeting).startsWith("E53300");
+                assertThat(result).startsWith("E53300");
                 next.close();
             }
         }
@@ -327,140 +330,141 @@
     }
 
     @Test
-    void whenAskedToEndTheIdleGoAndTheBusyAreAnswered() throws Exception {
-        begin("");
-        crowd(600, new EnumMap<>(Outcome.class), new CountDownLatch(1));
-        BlockingClient asking = known();
-        BlockingClient idle = known();
+    void drainClosesIdleConnectionsAndServesBusyOnes() throws Exception {
+        startRouter("");
+        connectServedClients(600, new EnumMap<>(Outcome.class), new CountDownLatch(1));
+        BlockingClient active = servedClient();
+        BlockingClient idle = servedClient();
         Future<Void> drained = router.drain();
         int served = 0;
-        String answer = asking.read("drain-0");
-        while (answer.equals("ok")) {
+        String response = active.read("drain-0");
+        while (response.equals("ok")) {
             served++;
             try {
-                answer = asking.read("drain-" + served);
-            } catch (IOException closedBetween) {
-                answer = "closed";
+                response = active.read("drain-" + served);
+            } catch (IOException closedBetweenRequests) {
+                response = "closed";
             }
         }
-        assertThat(answer).isEqualTo("closed");
+        assertThat(response).isEqualTo("closed");
         assertThat(served).isGreaterThan(10);
-        assertThat(idle.answer()).isEqualTo("closed");
+        assertThat(idle.readResponse()).isEqualTo("closed");
         drained.await(10, TimeUnit.SECONDS);
     }
 
-    /** Guards against messages that begin and take all memory before they end. */
+    /** Guards against incomplete messages that use up all memory. */
     @Test
-    void messagesThatFindNoMemoryEndInAnError() throws Exception {
-        begin(
+    void messagesBeyondTheMemoryBudgetAreRefused() throws Exception {
+        startRouter(
                 "memory = \"256KiB\"\nowed_all = \"64KiB\"\nowed_each = \"64KiB\"\n"
                         + "message_time = \"20s\"");
-        BlockingClient other = known();
-        List<BlockingClient> begun = new ArrayList<>();
+        BlockingClient other = servedClient();
+        List<BlockingClient> partial = new ArrayList<>();
         byte[] head = Arrays.copyOf(Encoder.query("x".repeat(130_000)), 60_000);
         int refused = 0;
         for (int i = 0; i < 6; i++) {
-            BlockingClient talk = talk();
-            talk.greet();
-            begun.add(talk);
-            talk.send(head);
+            BlockingClient client = connect();
+            client.startUp();
+            partial.add(client);
+            client.send(head);
             Thread.sleep(30);
             try {
-                talk.send(head);
+                client.send(head);
             } catch (IOException refusedAlready) {
-                // told below
+                // Counted below.
             }
         }
-        for (BlockingClient talk : begun) {
-            talk.socket.setSoTimeout(400);
+        for (BlockingClient client : partial) {
+            client.socket.setSoTimeout(400);
             try {
-                assertThat(talk.answer()).isEqualTo("E53200 closed");
+                assertThat(client.readResponse()).isEqualTo("E53200 closed");
                 refused++;
-            } catch (SocketTimeoutException held) {
-                // its memory was lent
+            } catch (SocketTimeoutException stillWaiting) {
+                // The router reserved memory for this message and waits for the rest.
             } catch (IOException reset) {
                 refused++;
             }
         }
         assertThat(refused).isBetween(3, 5);
-        assertThat(other.shown("memory", "incoming")).isBetween(1L, 256L << 10);
-        assertThat(other.shown("idle", "ended_no_memory")).isEqualTo(refused);
-        begun.forEach(
-                talk -> {
+        assertThat(other.showValue("memory", "incoming")).isBetween(1L, 256L << 10);
+        assertThat(other.showValue("idle", "ended_no_memory")).isEqualTo(refused);
+        partial.forEach(
+                client -> {
                     try {
-                        talk.close();
+                        client.close();
                     } catch (IOException e) {
                         throw new IllegalStateException(e);
                     }
                 });
-        while (other.shown("memory", "incoming") > 0) {
+        while (other.showValue("memory", "incoming") > 0) {
             Thread.sleep(10);
         }
         assertThat(other.read("after")).isEqualTo("ok");
     }
 
     @Test
-    void anAddressAndACustomerHaveTheirShare() throws Exception {
-        begin("per_address = 3\nper_customer = 2");
-        List<BlockingClient> near = new ArrayList<>();
+    void connectionsPerAddressAndCustomerAreLimited() throws Exception {
+        startRouter("per_address = 3\nper_customer = 2");
+        List<BlockingClient> sameAddress = new ArrayList<>();
         for (int i = 0; i < 3; i++) {
-            BlockingClient talk = talk("127.0.0.9");
-            assertThat(talk.greet()).isEqualTo("ready");
-            near.add(talk);
+            BlockingClient client = connect("127.0.0.9");
+            assertThat(client.startUp()).isEqualTo("ready");
+            sameAddress.add(client);
         }
-        assertThat(talk("127.0.0.9").answer()).isEqualTo("E53300 250 closed");
-        BlockingClient far = talk("127.0.0.10");
-        assertThat(far.greet()).isEqualTo("ready");
+        assertThat(connect("127.0.0.9").readResponse()).isEqualTo("E53300 250 closed");
+        BlockingClient otherAddress = connect("127.0.0.10");
+        assertThat(otherAddress.startUp()).isEqualTo("ready");
         for (int i = 0; i < 3; i++) {
-            near.get(i).ask("c" + i, "read", "two", "k");
-            assertThat(near.get(i).answer()).isEqualTo("ok");
+            sameAddress.get(i).sendRead("c" + i, "read", "two", "k");
+            assertThat(sameAddress.get(i).readResponse()).isEqualTo("ok");
         }
-        assertThat(near.get(0).answer()).isEqualTo("closed");
-        assertThat(far.shown("idle", "ended_customer_full")).isEqualTo(1);
-        assertThat(near.get(1).read("again")).isEqualTo("ok");
-        assertThat(talk("127.0.0.9").greet()).isEqualTo("ready");
+        assertThat(sameAddress.get(0).readResponse()).isEqualTo("closed");
+        assertThat(otherAddress.showValue("idle", "ended_customer_full")).isEqualTo(1);
+        assertThat(sameAddress.get(1).read("again")).isEqualTo("ok");
+        assertThat(connect("127.0.0.9").startUp()).isEqualTo("ready");
     }
 
     @Test
-    void theDoorKeepsItsRateAndWhatWaitsComesIn() throws Exception {
-        begin("connections = 100000\nnew_per_second = 100\nnew_at_once = 1");
-        long begun = System.nanoTime();
-        List<BlockingClient> all = new ArrayList<>();
+    void acceptRateIsLimitedAndQueuedConnectionsAreAccepted() throws Exception {
+        startRouter("connections = 100000\nnew_per_second = 100\nnew_at_once = 1");
+        long startNanos = System.nanoTime();
+        List<BlockingClient> clients = new ArrayList<>();
         for (int i = 0; i < 40; i++) {
-            all.add(talk());
+            clients.add(connect());
         }
-        for (BlockingClient talk : all) {
-            assertThat(talk.greet()).isEqualTo("ready");
+        for (BlockingClient client : clients) {
+            assertThat(client.startUp()).isEqualTo("ready");
         }
-        assertThat(System.nanoTime() - begun).isGreaterThan(TimeUnit.MILLISECONDS.toNanos(380));
-        // More than there are descriptors for is not promised.
-        assertThat(all.get(0).shown("idle", "most")).isBetween(4_000L, 8_000L);
+        assertThat(System.nanoTime() - startNanos)
+                .isGreaterThan(TimeUnit.MILLISECONDS.toNanos(380));
+        // The limit is capped by the number of available descriptors.
+        assertThat(clients.get(0).showValue("idle", "most")).isBetween(4_000L, 8_000L);
     }
 
     /**
-     * Guards against start-ups and messages that never end, each told apart by the error and the
-     * count.
+     * Guards against startups and messages that never complete; the error and the counter tell the
+     * cases apart.
      */
-    @ParameterizedTest(name = "{0} bytes of a start-up, {1} of a request: {2}")
+    @ParameterizedTest(name = "{0} bytes of a startup message, {1} of a request: {2}")
     @CsvSource({
         "0, 0, E57P05 closed, too_slow",
         "5, 0, E57P05 closed, too_slow",
         "99, 7, E57P05 closed, too_slow",
         "99, 0, closed, idle_too_long"
     })
-    void whatStandsStillIsEnded(int startup, int request, String answer, String reason)
-            throws Exception {
-        begin("startup_time = \"200ms\"\nmessage_time = \"200ms\"\ngreeted_time = \"200ms\"");
-        BlockingClient known = known();
-        BlockingClient slow = talk();
-        byte[] hello = Encoder.startup("client", "core");
-        slow.send(Arrays.copyOf(hello, Math.min(startup, hello.length)));
-        if (startup > hello.length) {
-            assertThat(slow.answer()).isEqualTo("ready");
-            slow.send(Arrays.copyOf(write("w"), request));
+    void stalledConnectionsAreClosed(
+            int startupBytes, int requestBytes, String response, String reason) throws Exception {
+        startRouter("startup_time = \"200ms\"\nmessage_time = \"200ms\"\ngreeted_time = \"200ms\"");
+        BlockingClient served = servedClient();
+        BlockingClient slow = connect();
+        byte[] startupMessage = Encoder.startup("client", "core");
+        slow.send(Arrays.copyOf(startupMessage, Math.min(startupBytes, startupMessage.length)));
+        if (startupBytes > startupMessage.length) {
+            assertThat(slow.readResponse()).isEqualTo("ready");
+            slow.send(Arrays.copyOf(write("w"), requestBytes));
         }
-        assertThat(slow.answer()).isEqualTo(answer);
-        assertThat(known.shown("idle", "ended_" + reason)).isEqualTo(1);
-        assertThat(known.read("still")).isEqualTo("ok");
+        assertThat(slow.readResponse()).isEqualTo(response);
+        assertThat(served.showValue("idle", "ended_" + reason)).isEqualTo(1);
+        assertThat(served.read("still")).isEqualTo("ok");
     }
 }
