--- a/cli/src/main/java/ironwind/cli/Adapter.java
+++ b/cli/src/main/java/ironwind/cli/Adapter.java
@@ -5,11 +5,11 @@
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
 
-/** Play the simulator's wire. */
+/** {@code ironwind adapter}: speaks the simulator's line protocol on standard input and output. */
 @Command(
         name = "adapter",
         mixinStandardHelpOptions = true,
-        description = "Play the simulator's wire on standard input and output.")
+        description = "Speak the simulator's line protocol on standard input and output.")
 final class Adapter implements Callable<Integer> {
     @Override
     public Integer call() throws Exception {
--- a/cli/src/main/java/ironwind/cli/Check.java
+++ b/cli/src/main/java/ironwind/cli/Check.java
@@ -13,15 +13,18 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** Check a configuration without starting anything. */
+/** {@code ironwind check}: validates an installation's settings file without starting a router. */
 @Command(
         name = "check",
         mixinStandardHelpOptions = true,
         description =
-                "Check an installation's HCL file; all that is wrong is told at once, by file and line.")
+                "Check an installation's HCL file; all errors are reported at once, by file and line.")
 final class Check implements Callable<Integer> {
-    /** What a router has where nobody says otherwise: DEPLOY's limits. */
-    private static final Limits USUAL =
+    /**
+     * Limits used without start facts: those of the deployment described in DEPLOY, with 535 client
+     * connections, 192 MB of memory and method deadlines from 1 s to 3 s.
+     */
+    private static final Limits DEFAULT_LIMITS =
             Limits.of(535, 192, Span.ofMillis(1_000), Span.ofMillis(3_000));
 
     @Spec private CommandSpec spec;
@@ -32,12 +35,12 @@
     @Option(
             names = "--facts",
             paramLabel = "FILE",
-            description = "JSON of a router's start facts, from which the defaults come.")
+            description = "JSON file of a router's start facts, which set the defaults.")
     private Path facts;
 
     @Override
     public Integer call() {
-        Limits limits = facts == null ? USUAL : StartFacts.read(facts).idleLimits();
+        Limits limits = facts == null ? DEFAULT_LIMITS : StartFacts.read(facts).idleLimits();
         try {
             Installation.read(file, limits);
         } catch (HclFault fault) {
--- a/cli/src/main/java/ironwind/cli/Ironwind.java
+++ b/cli/src/main/java/ironwind/cli/Ironwind.java
@@ -6,15 +6,15 @@
 import picocli.CommandLine.IVersionProvider;
 
 /**
- * {@code ironwind}: all commands. Exit codes: 0 done, 1 it could not be done, 2 it was asked
- * wrongly.
+ * The {@code ironwind} command and its subcommands. Exit codes: 0 for success, 1 for failure, 2 for
+ * invalid arguments.
  */
 @Command(
         name = "ironwind",
         mixinStandardHelpOptions = true,
         versionProvider = Ironwind.Version.class,
         description =
-                "A proxy before a primary and its replicas, with what is needed to run and to measure it.",
+                "A proxy in front of a primary and its replicas, with tools to run and to measure it.",
         subcommands = {
             Serve.class,
             Adapter.class,
@@ -25,21 +25,22 @@
 public final class Ironwind {
     private Ironwind() {}
 
+    /** Runs the command given by the arguments and exits with its code. */
     public static void main(String[] args) {
-        System.exit(line().execute(args));
+        System.exit(commandLine().execute(args));
     }
 
-    static CommandLine line() {
+    static CommandLine commandLine() {
         return new CommandLine(new Ironwind())
                 .setCaseInsensitiveEnumValuesAllowed(true)
                 .setExecutionExceptionHandler(
-                        (fault, line, parsed) -> {
-                            line.getErr().println("ironwind: " + fault.getMessage());
+                        (exception, command, result) -> {
+                            command.getErr().println("ironwind: " + exception.getMessage());
                             return CommandLine.ExitCode.SOFTWARE;
                         });
     }
 
-    /** Of the jar it runs from. */
+    /** Reads the version from the manifest of the jar. */
     static final class Version implements IVersionProvider {
         @Override
         public String[] getVersion() {
--- a/cli/src/main/java/ironwind/cli/Lab.java
+++ b/cli/src/main/java/ironwind/cli/Lab.java
@@ -2,10 +2,10 @@
 
 import picocli.CommandLine.Command;
 
-/** Load and measurements. */
+/** {@code ironwind lab}: groups the benchmarks. */
 @Command(
         name = "lab",
         mixinStandardHelpOptions = true,
-        description = "Load, experiments and measurements.",
+        description = "Load generators and benchmarks.",
         subcommands = {LabIdle.class, LabKeeper.class, LabSockets.class})
 final class Lab {}
--- a/cli/src/main/java/ironwind/cli/LabIdle.java
+++ b/cli/src/main/java/ironwind/cli/LabIdle.java
@@ -11,7 +11,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** What idle connections cost. */
+/** {@code ironwind lab idle}: measures what idle connections cost. */
 @Command(
         name = "idle",
         mixinStandardHelpOptions = true,
@@ -22,7 +22,7 @@
             names = "--jar",
             paramLabel = "NAME=FILE",
             description =
-                    "A text of the program to measure; may be "
+                    "Router jar to measure, and its name in the results; may be "
                             + "repeated (default: now=router/target/ironwind-router.jar).")
     private Map<String, Path> jars = new LinkedHashMap<>();
 
@@ -31,8 +31,8 @@
             split = ",",
             defaultValue = "0,1000,10000,18000",
             paramLabel = "N",
-            description = "Idle connections in all, growing (default: ${DEFAULT-VALUE}).")
-    private List<Integer> sizes;
+            description = "Total idle connections, ascending (default: ${DEFAULT-VALUE}).")
+    private List<Integer> connectionCounts;
 
     @Option(names = "--routers", defaultValue = "1", description = "Routers that share the core.")
     private int routers;
@@ -40,43 +40,47 @@
     @Option(
             names = "--rate",
             defaultValue = "300",
-            description = "Questions a second of the active clients.")
+            description = "Requests per second of the constant load (default: ${DEFAULT-VALUE}).")
     private int rate;
 
     @Option(
             names = "--seconds",
             defaultValue = "10",
-            description = "Of each round (default: ${DEFAULT-VALUE}).")
+            description = "Duration of each measurement in seconds (default: ${DEFAULT-VALUE}).")
     private double seconds;
 
     @Option(
             names = "--wake-ms",
             defaultValue = "20000",
             description =
-                    "At the end all wake and wait so long for their answers; 0: they sleep on.")
+                    "Deadline in ms of the requests that all idle clients send at once at the end; "
+                            + "0 sends none (default: ${DEFAULT-VALUE}).")
     private long wakeMs;
 
     @Option(
             names = "--slow-readers",
             defaultValue = "0",
-            description = "At the end so many read nothing.")
+            description = "Clients that at the end send requests and never read the responses.")
     private int slowReaders;
 
-    @Option(names = "--core", defaultValue = "0", description = "The routers' core; -1: any.")
+    @Option(
+            names = "--core",
+            defaultValue = "0",
+            description = "CPU to pin the routers to; -1: none.")
     private int core;
 
-    @Option(names = "--heap-mb", defaultValue = "512", description = "Of each router's JVM.")
+    @Option(names = "--heap-mb", defaultValue = "512", description = "Heap of each router's JVM.")
     private int heapMb;
 
-    @Option(names = "--config", paramLabel = "FILE", description = "HCL for the routers.")
+    @Option(names = "--config", paramLabel = "FILE", description = "HCL file for the routers.")
     private Path config;
 
-    @Option(names = "--json", paramLabel = "FILE", description = "Where the figures go as JSON.")
+    @Option(names = "--json", paramLabel = "FILE", description = "Write the results as JSON.")
     private Path json;
 
     @Option(
             names = "--small",
-            description = "A few connections for a few seconds: a check that it works.")
+            description = "Run with a few connections for a few seconds, as a smoke test.")
     private boolean small;
 
     @Override
@@ -90,7 +94,7 @@
                                 jars, List.of(0, 50), 1, 50, 1, 5_000, 5, -1, 128, config)
                         : new IdleBenchmark.Plan(
                                 jars,
-                                sizes,
+                                connectionCounts,
                                 routers,
                                 rate,
                                 seconds,
--- a/cli/src/main/java/ironwind/cli/LabKeeper.java
+++ b/cli/src/main/java/ironwind/cli/LabKeeper.java
@@ -6,24 +6,24 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** What deciding costs. */
+/** {@code ironwind lab keeper}: measures what connection admission and eviction decisions cost. */
 @Command(
         name = "keeper",
         mixinStandardHelpOptions = true,
         description =
-                "Measure what deciding on connections costs, and what is kept of each, without sockets.")
+                "Measure the time and memory of connection admission and eviction, without sockets.")
 final class LabKeeper implements Callable<Integer> {
     @Option(
             names = "--connections",
             split = ",",
             defaultValue = "1000,10000,100000",
             paramLabel = "N",
-            description = "Connections kept (default: ${DEFAULT-VALUE}).")
-    private List<Integer> sizes;
+            description = "Open connections (default: ${DEFAULT-VALUE}).")
+    private List<Integer> connectionCounts;
 
     @Override
     public Integer call() throws Exception {
-        new KeeperBenchmark(System.out).run(sizes);
+        new KeeperBenchmark(System.out).run(connectionCounts);
         return 0;
     }
 }
--- a/cli/src/main/java/ironwind/cli/LabSockets.java
+++ b/cli/src/main/java/ironwind/cli/LabSockets.java
@@ -5,7 +5,9 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** What a connection costs by the layers above its socket. */
+/**
+ * {@code ironwind lab sockets}: measures what a connection costs by the layers above its socket.
+ */
 @Command(
         name = "sockets",
         mixinStandardHelpOptions = true,
@@ -15,10 +17,13 @@
     @Option(
             names = "--connections",
             defaultValue = "4000",
-            description = "How many (default: ${DEFAULT-VALUE}).")
+            description = "Number of connections (default: ${DEFAULT-VALUE}).")
     private int connections;
 
-    @Option(names = "--way", defaultValue = "vertx", description = "${COMPLETION-CANDIDATES}")
+    @Option(
+            names = "--way",
+            defaultValue = "vertx",
+            description = "Layer: ${COMPLETION-CANDIDATES}.")
     private SocketBenchmark.Layer layer;
 
     @Override
--- a/cli/src/main/java/ironwind/cli/LogbackSink.java
+++ b/cli/src/main/java/ironwind/cli/LogbackSink.java
@@ -13,9 +13,9 @@
 import org.slf4j.LoggerFactory;
 import org.slf4j.spi.LoggingEventBuilder;
 
-/** Log lines by way of SLF4J and logback, with what else in the program logs there. */
+/** Writes log lines through SLF4J and Logback, together with those of libraries that use SLF4J. */
 final class LogbackSink implements Log.Sink {
-    private static final String PAIRS =
+    private static final String PAIRS_PATTERN =
             "%d{\"yyyy-MM-dd'T'HH:mm:ss.SSS'Z'\", UTC} %level %msg %kvp{DOUBLE}%n";
 
     private final org.slf4j.Logger logger;
@@ -36,29 +36,29 @@
 
     private static Encoder<ILoggingEvent> encoder(LogForm form, LoggerContext context) {
         if (form == LogForm.JSON) {
-            JsonEncoder json = new JsonEncoder();
-            json.setContext(context);
-            json.start();
-            return json;
+            JsonEncoder jsonEncoder = new JsonEncoder();
+            jsonEncoder.setContext(context);
+            jsonEncoder.start();
+            return jsonEncoder;
         }
-        PatternLayoutEncoder pairs = new PatternLayoutEncoder();
-        pairs.setContext(context);
-        pairs.setPattern(PAIRS);
-        pairs.start();
-        return pairs;
+        PatternLayoutEncoder pairsEncoder = new PatternLayoutEncoder();
+        pairsEncoder.setContext(context);
+        pairsEncoder.setPattern(PAIRS_PATTERN);
+        pairsEncoder.start();
+        return pairsEncoder;
     }
 
     @Override
     public void line(Log.Level level, String event, Object... pairs) {
-        LoggingEventBuilder line =
+        LoggingEventBuilder entry =
                 switch (level) {
                     case INFO -> logger.atInfo();
                     case WARN -> logger.atWarn();
                     case ERROR -> logger.atError();
                 };
         for (int i = 0; i + 1 < pairs.length; i += 2) {
-            line = line.addKeyValue(pairs[i].toString(), String.valueOf(pairs[i + 1]));
+            entry = entry.addKeyValue(pairs[i].toString(), String.valueOf(pairs[i + 1]));
         }
-        line.log(event);
+        entry.log(event);
     }
 }
--- a/cli/src/main/java/ironwind/cli/Serve.java
+++ b/cli/src/main/java/ironwind/cli/Serve.java
@@ -10,32 +10,32 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** Be a router. */
+/** {@code ironwind serve}: runs a router. */
 @Command(
         name = "serve",
         mixinStandardHelpOptions = true,
-        description = "Be a router until asked to end.")
+        description = "Run a router until SIGTERM.")
 final class Serve implements Callable<Integer> {
     @Option(
             names = "--facts",
             required = true,
             defaultValue = "${env:ROUTER_CONFIG}",
             paramLabel = "FILE",
-            description =
-                    "JSON with what the router is started with (default: what ROUTER_CONFIG names).")
+            description = "JSON file of start facts (default: the file named by ROUTER_CONFIG).")
     private Path facts;
 
     @Option(
             names = "--config",
             defaultValue = "${env:IRONWIND_HCL}",
             paramLabel = "FILE",
-            description = "HCL of this installation (default: what IRONWIND_HCL names, else none).")
+            description =
+                    "HCL file of this installation (default: the file named by IRONWIND_HCL, if any).")
     private Path config;
 
     @Option(
             names = "--log",
             paramLabel = "FORM",
-            description = "pairs or json; overrules the file.")
+            description = "pairs or json; overrides log.form in the HCL file.")
     private LogForm form;
 
     @Override
--- a/cli/src/main/java/ironwind/cli/package-info.java
+++ b/cli/src/main/java/ironwind/cli/package-info.java
@@ -1,2 +1,2 @@
-/** The operator's command line, a class a command. */
+/** The {@code ironwind} command line for operators, with one class per command. */
 package ironwind.cli;
--- a/cli/src/test/java/ironwind/cli/CommandsTest.java
+++ b/cli/src/test/java/ironwind/cli/CommandsTest.java
@@ -14,17 +14,17 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import picocli.CommandLine;
 
-/** The commands as an operator calls them. */
+/** Runs the commands as an operator does. */
 class CommandsTest {
-    @TempDir private Path folder;
+    @TempDir private Path directory;
     private final StringWriter out = new StringWriter();
     private final StringWriter errors = new StringWriter();
 
-    private int run(String... words) {
-        CommandLine line = Ironwind.line();
-        line.setOut(new PrintWriter(out, true));
-        line.setErr(new PrintWriter(errors, true));
-        return line.execute(words);
+    private int run(String... arguments) {
+        CommandLine command = Ironwind.commandLine();
+        command.setOut(new PrintWriter(out, true));
+        command.setErr(new PrintWriter(errors, true));
+        return command.execute(arguments);
     }
 
     @ParameterizedTest(name = "{0}: {1}")
@@ -39,8 +39,8 @@
         "check nofile.hcl, 1",
         "serve --facts nofile.json, 1"
     })
-    void theExitCodeTellsHowItWent(String words, int code) {
-        assertThat(run(words.split(" "))).isEqualTo(code);
+    void exitCodeReportsSuccessOrFailure(String arguments, int code) {
+        assertThat(run(arguments.split(" "))).isEqualTo(code);
         assertThat((code == 0 ? out : errors).toString()).isNotBlank();
     }
 
@@ -52,20 +52,21 @@
                 "idle {;conections = 18000;} | 1 | " + ":2: idle.conections is unknown here",
                 "iddle {;};idle {;memory = 3;}| 1 | :1: the block iddle is unknown"
             })
-    void aFileIsCheckedWithoutStarting(String text, int code, String told) throws IOException {
-        Path file = folder.resolve("x.hcl");
+    void checkReportsErrorsWithoutStartingARouter(String text, int code, String message)
+            throws IOException {
+        Path file = directory.resolve("x.hcl");
         Files.writeString(file, text.replace(';', '\n'));
         assertThat(run("check", file.toString())).isEqualTo(code);
-        assertThat(errors.toString()).contains(told == null ? "" : told);
+        assertThat(errors.toString()).contains(message == null ? "" : message);
         assertThat(errors.toString().lines().count())
                 .isEqualTo(code == 0 ? 0 : text.contains("iddle") ? 2 : 1);
     }
 
-    /** The measurement's own machinery, small: processes, crowds, figures. */
+    /** Smoke test of the idle benchmark: its processes, client workers and JSON results. */
     @Test
     @Timeout(value = 60, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
-    void theIdleTrialRunsSmall() throws IOException {
-        Path json = folder.resolve("figures.json");
+    void idleBenchmarkRunsWithSmallSettings() throws IOException {
+        Path json = directory.resolve("figures.json");
         assertThat(
                         run(
                                 "lab",
--- a/cli/src/test/java/ironwind/cli/LogbackSinkTest.java
+++ b/cli/src/test/java/ironwind/cli/LogbackSinkTest.java
@@ -11,12 +11,12 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** Lines that a library writes: what they say must be found again by a program. */
+/** Log lines written through Logback must be machine-readable. */
 class LogbackSinkTest {
     @ParameterizedTest
     @EnumSource(LogForm.class)
-    void namesAndValuesAreToldAsTheyAre(LogForm form) {
-        PrintStream before = System.err;
+    void keysAndValuesAreWrittenUnchanged(LogForm form) {
+        PrintStream originalErr = System.err;
         ByteArrayOutputStream written = new ByteArrayOutputStream();
         try {
             System.setErr(new PrintStream(written, true, StandardCharsets.UTF_8));
@@ -25,7 +25,7 @@
             log.warn("client_refused", "open", 7);
             log.warn("client_refused", "open", 8);
         } finally {
-            System.setErr(before);
+            System.setErr(originalErr);
         }
         String[] lines = written.toString(StandardCharsets.UTF_8).split("\n");
         assertThat(lines).hasSize(2);
