--- a/lab/src/main/java/ironwind/lab/IdleBenchmark.java
+++ b/lab/src/main/java/ironwind/lab/IdleBenchmark.java
@@ -30,7 +30,7 @@
     private static final long HOST_RESPONSE_NANOS = 2_000_000;
     private static final int LOAD_CONNECTIONS = 60;
 
-    /** Keeps each client worker below the number of descriptors that one process may open. */
+    /** Keeps each client worker below the number of connections that one process may hold. */
     private static final int CONNECTIONS_PER_WORKER = 17_500;
 
     private static final int REPORTED_CLASSES = 12;
