--- a/cli/src/main/java/ironwind/cli/LabSockets.java
+++ b/cli/src/main/java/ironwind/cli/LabSockets.java
@@ -1,11 +1,13 @@
 package ironwind.cli;
 
-import ironwind.lab.SocketTrial;
+import ironwind.lab.SocketBenchmark;
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** What a connection costs by the layers above its socket. */
+/**
+ * {@code ironwind lab sockets}: measures what a connection costs by the layers above its socket.
+ */
 @Command(
         name = "sockets",
         mixinStandardHelpOptions = true,
@@ -15,15 +17,18 @@
     @Option(
             names = "--connections",
             defaultValue = "4000",
-            description = "How many (default: ${DEFAULT-VALUE}).")
+            description = "Number of connections (default: ${DEFAULT-VALUE}).")
     private int connections;
 
-    @Option(names = "--way", defaultValue = "vertx", description = "${COMPLETION-CANDIDATES}")
-    private SocketTrial.Way way;
+    @Option(
+            names = "--way",
+            defaultValue = "vertx",
+            description = "Layer: ${COMPLETION-CANDIDATES}.")
+    private SocketBenchmark.Layer layer;
 
     @Override
     public Integer call() throws Exception {
-        new SocketTrial(System.out).run(way, connections);
+        new SocketBenchmark(System.out).run(layer, connections);
         return 0;
     }
 }
--- a/cli/src/test/java/ironwind/cli/LibrarySinkTest.java
+++ b/cli/src/test/java/ironwind/cli/LogbackSinkTest.java
@@ -11,21 +11,21 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** Lines that a library writes: what they say must be found again by a program. */
-class LibrarySinkTest {
+/** Log lines written through Logback must be machine-readable. */
+class LogbackSinkTest {
     @ParameterizedTest
     @EnumSource(LogFormat.class)
-    void namesAndValuesAreToldAsTheyAre(LogFormat form) {
-        PrintStream before = System.err;
+    void keysAndValuesAreWrittenUnchanged(LogFormat form) {
+        PrintStream originalErr = System.err;
         ByteArrayOutputStream written = new ByteArrayOutputStream();
         try {
             System.setErr(new PrintStream(written, true, StandardCharsets.UTF_8));
-            Log log = new Log(new LibrarySink(form));
+            Log log = new Log(new LogbackSink(form));
             log.info("ready", "name", "n1", "words", "two \"words\"");
             log.warn("client_refused", "open", 7);
             log.warn("client_refused", "open", 8);
         } finally {
-            System.setErr(before);
+            System.setErr(originalErr);
         }
         String[] lines = written.toString(StandardCharsets.UTF_8).split("\n");
         assertThat(lines).hasSize(2);
