--- a/cli/src/main/java/ironwind/cli/LibrarySink.java
+++ b/cli/src/main/java/ironwind/cli/LibrarySink.java
@@ -49,7 +49,7 @@
     }
 
     @Override
-    public void line(Log.Level level, String event, Object... pairs) {
+    public void write(Log.Level level, String event, Object... pairs) {
         LoggingEventBuilder line =
                 switch (level) {
                     case INFO -> logger.atInfo();
--- a/router/src/main/java/ironwind/boot/Main.java
+++ b/router/src/main/java/ironwind/boot/Main.java
@@ -64,7 +64,10 @@
                         "log.form: this jar writes pairs only; use the ironwind command for json");
             }
             new RouterService(
-                            Path.of(configFile), config, settings, new Log(errors).withLibraries())
+                            Path.of(configFile),
+                            config,
+                            settings,
+                            new Log(errors).withLibraryLogs())
                     .run();
             return 0;
         } catch (Exception e) {
--- a/router/src/main/java/ironwind/net/Sending.java
+++ b/router/src/main/java/ironwind/net/CallOutRequest.java
@@ -5,7 +5,7 @@
 import ironwind.pg.Encoder;
 
 /** One call-out on its way: it has one end, and tells the module's task of it once. */
-final class Sending implements HostConnection.Use {
+final class CallOutRequest implements HostConnection.Request {
     final CallOut callOut;
     final Exchange exchange;
     private final LogicTask task;
@@ -13,14 +13,14 @@
     private Timers.Timer limit;
     private boolean over;
 
-    Sending(LogicTask task, CallOut callOut, Exchange exchange) {
+    CallOutRequest(LogicTask task, CallOut callOut, Exchange exchange) {
         this.task = task;
         this.callOut = callOut;
         this.exchange = exchange;
     }
 
     /** Goes out at once where a connection is idle, else once one has come up. */
-    void begin(HostConnections hosts, Moment now, Timers.Timer timeOut) {
+    void begin(HostConnectionPool hosts, Moment now, Timers.Timer timeOut) {
         limit = timeOut;
         connection = hosts.open(callOut.host.id, this);
         if (connection == null) {
@@ -47,18 +47,18 @@
     /** Its connection is up, but the request is no longer to be written. */
     void leave() {
         connection.leave();
-        ended(Ending.LAPSED, null);
+        ended(Ending.NOT_SENT, null);
     }
 
     /** Closes its connection. What was not written yet has never run. */
     void giveUp(Ending ending) {
         if (!over) {
-            ended(connection.giveUp() ? ending : Ending.LAPSED, null);
+            ended(connection.giveUp() ? ending : Ending.NOT_SENT, null);
         }
     }
 
     @Override
-    public void ended(Ending ending, HostWord word) {
+    public void ended(Ending ending, HostAnswer word) {
         over = true;
         limit.cancel();
         task.ended(this, ending, word);
--- a/router/src/main/java/ironwind/net/ClientConnection.java
+++ b/router/src/main/java/ironwind/net/ClientConnection.java
@@ -95,7 +95,7 @@
     }
 
     private void received(byte[] bytes) {
-        if (bytes.length > 0 && closing != Ending.CLIENT_MALFORMED) {
+        if (bytes.length > 0 && closing != Ending.CLIENT_FATAL_ERROR) {
             if (frames == null) {
                 frames =
                         new FrameDecoder(
@@ -136,7 +136,7 @@
     }
 
     private Frame next() {
-        return frames == null || closed || closing == Ending.CLIENT_MALFORMED || hasEnough()
+        return frames == null || closed || closing == Ending.CLIENT_FATAL_ERROR || hasEnough()
                 ? null
                 : frames.next();
     }
@@ -218,13 +218,14 @@
 
     /** The same for a reason of ours; {@code comeBack} tells when another try makes sense. */
     void turnAway(CloseReason reason, Span comeBack) {
-        PgError failure = new PgError(reason.sqlState, reason.message, Timers.told(comeBack));
+        PgError failure =
+                new PgError(reason.sqlState, reason.message, Timers.formatRetryAfter(comeBack));
         endWith(() -> add(null, 0).answer(Encoder.fatalError(failure)));
     }
 
     private void endWith(Runnable error) {
-        if (!closed && closing != Ending.CLIENT_MALFORMED) {
-            closing = Ending.CLIENT_MALFORMED;
+        if (!closed && closing != Ending.CLIENT_FATAL_ERROR) {
+            closing = Ending.CLIENT_FATAL_ERROR;
             drop();
             error.run();
             settle();
@@ -299,13 +300,13 @@
             return;
         }
         if (closing == null && clients.isDismissing()) {
-            closing = Ending.CLIENT_DISMISSED;
+            closing = Ending.CLIENT_CLOSED_BY_ROUTER;
         }
-        if (first == null && closing == Ending.CLIENT_MALFORMED) {
+        if (first == null && closing == Ending.CLIENT_FATAL_ERROR) {
             parting = true;
         } else if (first == null
                 && (frames == null || !started)
-                && closing == Ending.CLIENT_DISMISSED) {
+                && closing == Ending.CLIENT_CLOSED_BY_ROUTER) {
             closed(closing);
             return;
         }
@@ -331,7 +332,7 @@
 
     /** Closes the connection between two requests, now or once what it has brought is answered. */
     void dismiss() {
-        closing = closing == null ? Ending.CLIENT_DISMISSED : closing;
+        closing = closing == null ? Ending.CLIENT_CLOSED_BY_ROUTER : closing;
         settle();
     }
 
@@ -347,13 +348,13 @@
                 return closed;
             }
         }
-        closed(closing == null ? Ending.CLIENT_DISMISSED : closing);
+        closed(closing == null ? Ending.CLIENT_CLOSED_BY_ROUTER : closing);
         return true;
     }
 
     /** Ends at once, whatever is under way: a half-written answer stays incomplete. */
     void cut() {
-        closed(Ending.CLIENT_DISMISSED);
+        closed(Ending.CLIENT_CLOSED_BY_ROUTER);
     }
 
     private void closed(Ending ending) {
--- a/router/src/main/java/ironwind/net/Clients.java
+++ b/router/src/main/java/ironwind/net/Clients.java
@@ -134,7 +134,7 @@
                                         keeper.connectionCount(),
                                         "cause",
                                         none.getMessage()));
-        timers.every(LOOK_EVERY, this::look);
+        timers.scheduleAtFixedRate(LOOK_EVERY, this::look);
     }
 
     int port() {
@@ -153,7 +153,7 @@
     /** From now on empty queries are answered: the front may send clients. */
     void ready() {
         ready = true;
-        timers.after(limits.startupTimeout(), () -> rehearsal = null);
+        timers.schedule(limits.startupTimeout(), () -> rehearsal = null);
         askedWhetherReady.forEach(exchange -> exchange.answer(Encoder.emptyQueryResponse()));
         askedWhetherReady.clear();
     }
@@ -252,7 +252,7 @@
         lag.beat(time);
         endDue();
         endDebtors(now());
-        logic.memoryFreed();
+        logic.onMemoryReleased();
         door.look();
         if (turns.hasQueued()) {
             callTurn();
@@ -301,7 +301,7 @@
     // ---- turns to be read
 
     boolean mayRead(ClientConnection client) {
-        boolean now = turns.readNowOrEnqueue(client, now(), logic.open());
+        boolean now = turns.readNowOrEnqueue(client, now(), logic.openRpcCount());
         if (!now) {
             callTurn();
         }
@@ -315,7 +315,7 @@
     private void callTurn() {
         if (!turnDue) {
             turnDue = true;
-            timers.soon(this::turn);
+            timers.execute(this::turn);
         }
     }
 
@@ -323,12 +323,12 @@
     private void turn() {
         turnDue = false;
         turns.beginTurn(now());
-        TrackedConnection next = turns.poll(now(), logic.open());
+        TrackedConnection next = turns.poll(now(), logic.openRpcCount());
         while (next != null) {
             ((ClientConnection) next).turn();
-            next = turns.poll(now(), logic.open());
+            next = turns.poll(now(), logic.openRpcCount());
         }
-        if (turns.hasQueued() && turns.hasEligible(now(), logic.open())) {
+        if (turns.hasQueued() && turns.hasEligible(now(), logic.openRpcCount())) {
             callTurn();
         }
     }
@@ -389,7 +389,7 @@
     }
 
     void soon(Runnable action) {
-        timers.soon(action);
+        timers.execute(action);
     }
 
     void malformed(PgException fault) {
@@ -404,7 +404,7 @@
         for (Exchange exchange = unanswered; exchange != null; exchange = exchange.next) {
             budget.release(Use.OPEN_RPCS, exchange.lent);
             exchange.lent = 0;
-            logic.left(exchange);
+            logic.onClientLeft(exchange);
         }
         door.look();
         if (dismissing && keeper.connectionCount() == 0) {
@@ -465,8 +465,8 @@
         int bytes = OPEN_RPC_BYTES + 2 * statement.text().length();
         Span waited = turns.queueTime(client, now());
         Span lay = waited.longer(client.lay(lag.at(Clock.read())));
-        LogicTask.Asked asked =
-                new LogicTask.Asked(
+        LogicTask.RpcRequest asked =
+                new LogicTask.RpcRequest(
                         statement.required("id"),
                         method,
                         customer,
@@ -477,9 +477,9 @@
                         "1".equals(statement.attributes().get("r")),
                         lay,
                         turns.shouldPushBack(waited, bytes));
-        logic.check(asked);
+        logic.validate(asked);
         budget.forceReserve(Use.OPEN_RPCS, bytes);
-        logic.arrived(client.add(statement, bytes), asked);
+        logic.onRpcArrived(client.add(statement, bytes), asked);
     }
 
     private static <T> T known(T value, String fact) {
--- a/router/src/main/java/ironwind/net/Counters.java
+++ b/router/src/main/java/ironwind/net/Counters.java
@@ -2,29 +2,51 @@
 
 import java.util.EnumMap;
 import java.util.LinkedHashMap;
-import java.util.Locale;
 import java.util.Map;
 import java.util.stream.Collectors;
 
-/** What the router took in, sent and answered since its start. */
+/** Counts of the router's events since its start. */
 public final class Counters {
     private final Map<Count, long[]> counts = new EnumMap<>(Count.class);
     private final Map<Ending, long[]> endings = new EnumMap<>(Ending.class);
 
-    /** What is counted beside the endings of connections and their uses. */
+    /** Counted events other than the {@link Ending}s of connections and requests. */
     public enum Count {
-        CLIENTS,
-        RPCS,
-        OK,
-        PUSHED_BACK,
-        ABORTED,
-        LEFT,
-        MALFORMED,
-        CALL_OUTS,
-        PROBES,
-        HOST_CONNECTIONS,
-        LISTS,
-        FAULTS
+        /** Client connections that were accepted. */
+        CLIENTS("clients"),
+        /** RPCs of clients that arrived. */
+        RPCS("rpcs"),
+        /** RPCs that were answered ok. */
+        OK("ok"),
+        /** RPCs that were pushed back. */
+        PUSHED_BACK("pushed_back"),
+        /** RPCs that were aborted. */
+        ABORTED("aborted"),
+        /** RPCs whose client disconnected before the answer. */
+        ABANDONED("left"),
+        /** Malformed or unsupported messages and statements of clients. */
+        MALFORMED("malformed"),
+        /** Call-outs that were sent or attempted. */
+        CALL_OUTS("call_outs"),
+        /** Probes that were sent or attempted. */
+        PROBES("probes"),
+        /** Connections to hosts that were opened. */
+        HOST_CONNECTIONS("host_connections"),
+        /** Updates from discovery. */
+        DISCOVERY_UPDATES("lists"),
+        /** Unexpected exceptions. */
+        FAULTS("faults");
+
+        private final String label;
+
+        Count(String label) {
+            this.label = label;
+        }
+
+        /** Returns the name that {@code SHOW stats} prints; it may differ from the constant's. */
+        public String label() {
+            return label;
+        }
     }
 
     void add(Count count) {
@@ -35,17 +57,13 @@
         endings.computeIfAbsent(ending, key -> new long[1])[0]++;
     }
 
-    /** Every count by its name, in a fixed order. */
+    /** Returns all counts, and those endings that have occurred, by name in a fixed order. */
     public Map<String, Long> read() {
         Map<String, Long> all = new LinkedHashMap<>();
         for (Count count : Count.values()) {
-            all.put(
-                    count.name().toLowerCase(Locale.ROOT),
-                    counts.getOrDefault(count, new long[1])[0]);
+            all.put(count.label(), counts.getOrDefault(count, new long[1])[0]);
         }
-        endings.forEach(
-                (ending, count) ->
-                        all.put("ended_" + ending.name().toLowerCase(Locale.ROOT), count[0]));
+        endings.forEach((ending, count) -> all.put("ended_" + ending.label(), count[0]));
         return all;
     }
 
--- a/router/src/main/java/ironwind/net/Discovery.java
+++ b/router/src/main/java/ironwind/net/Discovery.java
@@ -42,7 +42,7 @@
     private Address address;
     private final NameIndex names;
     private final LogicTask logic;
-    private final HostConnections hosts;
+    private final HostConnectionPool hosts;
     private final Counters counters;
     private final Log log;
     private long version = -1;
@@ -54,7 +54,7 @@
             Vertx vertx,
             RouterConfig facts,
             LogicTask logic,
-            HostConnections hosts,
+            HostConnectionPool hosts,
             Counters counters,
             Log log) {
         this.vertx = vertx;
@@ -87,7 +87,7 @@
      * Leaves the present watch, and what it may still say, and asks for a full list at the new
      * address.
      */
-    void moveTo(Address next) {
+    void switchTo(Address next) {
         if (!stopped && !next.equals(address)) {
             HttpClientAgent left = client;
             address = next;
@@ -172,8 +172,8 @@
         }
         version = answer.getLong("version");
         if (full || !entries.isEmpty()) {
-            counters.add(Count.LISTS);
-            logic.listed(full, entries, () -> addresses.forEach(hosts::locate));
+            counters.add(Count.DISCOVERY_UPDATES);
+            logic.onDiscoveryUpdate(full, entries, () -> addresses.forEach(hosts::setAddress));
         }
     }
 
--- a/router/src/main/java/ironwind/net/Door.java
+++ b/router/src/main/java/ironwind/net/Door.java
@@ -120,7 +120,7 @@
         apply();
         if (rest != null && !timed) {
             timed = true;
-            timers.after(
+            timers.schedule(
                     rest,
                     () -> {
                         timed = false;
--- a/router/src/main/java/ironwind/net/HostWord.java
+++ b/router/src/main/java/ironwind/net/HostAnswer.java
@@ -12,7 +12,7 @@
 import java.util.Map;
 
 /** What a host said in one use of a connection. */
-final class HostWord {
+final class HostAnswer {
     private static final int MILLIS = 3;
     private static final int SECONDS = 6;
 
@@ -56,7 +56,7 @@
 
     /** How it ended, if no more comes. */
     Ending ending() {
-        return failed != null ? failed : tag != null ? Ending.SERVED : Ending.GARBLED;
+        return failed != null ? failed : tag != null ? Ending.SERVED : Ending.MALFORMED_ANSWER;
     }
 
     /**
--- a/router/src/main/java/ironwind/net/HostConnection.java
+++ b/router/src/main/java/ironwind/net/HostConnection.java
@@ -15,7 +15,7 @@
     private static final String DATABASE = "core";
 
     final String hostId;
-    private final HostConnections pool;
+    private final HostConnectionPool pool;
     private final FrameDecoder frames;
     private LoopSocket socket;
     private boolean up;
@@ -32,8 +32,8 @@
     /** Of these, for the message that is not whole. */
     private int pendingLent;
 
-    private Use use;
-    private HostWord word = new HostWord();
+    private Request use;
+    private HostAnswer word = new HostAnswer();
 
     /** Whether a request was begun on it, and how much of that the system has not taken. */
     private boolean asked;
@@ -42,15 +42,15 @@
     Moment idleSince = Moment.NEVER;
 
     /** One use of a connection: a request and its answer. */
-    interface Use {
+    interface Request {
         /** The connection is up: time to {@link #write} the request, or to {@link #leave}. */
         void up();
 
         /** Called once, unless the use was given up by its owner. */
-        void ended(Ending ending, HostWord word);
+        void ended(Ending ending, HostAnswer word);
     }
 
-    HostConnection(String hostId, HostConnections pool, Use use) {
+    HostConnection(String hostId, HostConnectionPool pool, Request use) {
         this.hostId = hostId;
         this.pool = pool;
         this.frames = new FrameDecoder(false, HostMessage.TYPES, pool.longestMessage);
@@ -77,15 +77,18 @@
 
     @Override
     public void unconnected(IOException cause) {
-        failed(cause instanceof ConnectException ? Ending.REFUSED : Ending.NEVER_UP);
+        failed(
+                cause instanceof ConnectException
+                        ? Ending.CONNECTION_REFUSED
+                        : Ending.NOT_ESTABLISHED);
     }
 
-    void take(Use next) {
+    void take(Request next) {
         use = next;
     }
 
     void write(byte[] request) {
-        word = new HostWord();
+        word = new HostAnswer();
         asked = true;
         unwritten = socket.write(request);
     }
@@ -131,7 +134,7 @@
             // More than an answer, or ahead of its request: nothing that comes here can be told
             // apart any more.
             pool.surplus(this, bytes.length);
-            end(use == null ? Ending.SURPLUS : Ending.BROKE_UNWRITTEN);
+            end(use == null ? Ending.UNSOLICITED_DATA : Ending.LOST_BEFORE_SENT);
             return;
         }
         try {
@@ -203,7 +206,7 @@
 
     private void spoilt(PgException fault) {
         pool.garbled(this, fault);
-        end(wasWritten() ? Ending.GARBLED : Ending.BROKE_UNWRITTEN);
+        end(wasWritten() ? Ending.MALFORMED_ANSWER : Ending.LOST_BEFORE_SENT);
     }
 
     /**
@@ -221,7 +224,7 @@
     private void ready() {
         if (!up) {
             up = true;
-            word = new HostWord();
+            word = new HostAnswer();
             if (frames.hasBufferedBytes()) {
                 throw new PgException(PgException.PROTOCOL_VIOLATION, "more than a welcome");
             } else if (use == null) {
@@ -230,11 +233,11 @@
                 use.up();
             }
         } else {
-            Use done = use;
-            HostWord said = word;
+            Request done = use;
+            HostAnswer said = word;
             use = null;
             asked = false;
-            word = new HostWord();
+            word = new HostAnswer();
             giveBack();
             if (frames.hasBufferedBytes() || !said.isWhole()) {
                 close();
@@ -261,7 +264,7 @@
         } else if (word.isWhole()) {
             end(word.ending());
         } else {
-            end(wasWritten() ? Ending.BROKE_WRITTEN : Ending.BROKE_UNWRITTEN);
+            end(wasWritten() ? Ending.LOST_AFTER_SENT : Ending.LOST_BEFORE_SENT);
         }
     }
 
@@ -273,8 +276,8 @@
     }
 
     private void end(Ending ending) {
-        Use done = use;
-        HostWord said = word;
+        Request done = use;
+        HostAnswer said = word;
         use = null;
         close();
         if (done == null) {
--- a/router/src/main/java/ironwind/net/HostConnections.java
+++ b/router/src/main/java/ironwind/net/HostConnectionPool.java
@@ -22,7 +22,7 @@
 import java.util.function.Predicate;
 
 /** All connections to hosts: one request at a time on each, a new one only where none is idle. */
-final class HostConnections {
+final class HostConnectionPool {
     /**
      * Of the time after which a host closes an idle connection: a request that crosses the close
      * would be lost.
@@ -68,7 +68,7 @@
 
     private final MemoryBudget budget;
 
-    HostConnections(
+    HostConnectionPool(
             IoEventLoop loop,
             Timers timers,
             LoopSocket.Buffers buffers,
@@ -91,7 +91,7 @@
     }
 
     private void sweepLater() {
-        timers.after(
+        timers.schedule(
                 idleTime.times(1 - IDLE_PART),
                 () -> {
                     if (!stopped) {
@@ -102,7 +102,7 @@
     }
 
     /** Where a host listens; what is open to an address it had before is closed. */
-    void locate(String hostId, Address address) {
+    void setAddress(String hostId, Address address) {
         Address before = addresses.put(hostId, address);
         if (before != null && !before.equals(address)) {
             closeIdle(hostId);
@@ -119,7 +119,7 @@
      * Finds a connection for a use; it may have to come up first. Null where there is no socket for
      * it.
      */
-    HostConnection open(String hostId, HostConnection.Use use) {
+    HostConnection open(String hostId, HostConnection.Request use) {
         HostConnection quiet = quiet(hostId);
         if (quiet != null) {
             quiet.take(use);
@@ -155,7 +155,7 @@
         }
         open.add(connection);
         counters.add(Count.HOST_CONNECTIONS);
-        later(() -> connection.failed(Ending.NEVER_UP));
+        later(() -> connection.failed(Ending.NOT_ESTABLISHED));
         sockets++;
         return connection;
     }
@@ -251,12 +251,12 @@
     }
 
     void soon(Runnable action) {
-        timers.soon(action);
+        timers.execute(action);
     }
 
     /** After the time in which a host that runs lets a connection come up. */
     void later(Runnable action) {
-        timers.after(connectTime, action);
+        timers.schedule(connectTime, action);
     }
 
     void garbled(HostConnection connection, PgException fault) {
--- a/router/src/main/java/ironwind/net/Log.java
+++ b/router/src/main/java/ironwind/net/Log.java
@@ -40,7 +40,7 @@
     /** Where lines go, in which form. */
     public interface Sink {
         /** Pairs are a name and a value each. */
-        void line(Level level, String event, Object... pairs);
+        void write(Level level, String event, Object... pairs);
     }
 
     public Log(PrintStream out) {
@@ -65,7 +65,7 @@
      * Takes over what libraries log, by way of java.util.logging: its own way of writing a line
      * opens files, and so fails just where descriptors have run out, and takes the thread along.
      */
-    public Log withLibraries() {
+    public Log withLibraryLogs() {
         LogManager.getLogManager().reset();
         Logger.getLogger("")
                 .addHandler(
@@ -95,7 +95,7 @@
 
     /** Pairs are a name and a value each. */
     public void info(String event, Object... pairs) {
-        sink.line(Level.INFO, event, pairs);
+        sink.write(Level.INFO, event, pairs);
     }
 
     public synchronized void warn(String event, Object... pairs) {
@@ -111,7 +111,7 @@
             all[pairs.length] = "left_out";
             all[pairs.length + 1] = told.leftOut;
         }
-        sink.line(Level.WARN, event, all);
+        sink.write(Level.WARN, event, all);
         told.at = now;
         told.leftOut = 0;
     }
@@ -119,12 +119,12 @@
     /** An exception that nothing expected, with its place. */
     public void error(String event, Throwable fault) {
         StackTraceElement[] trace = fault.getStackTrace();
-        sink.line(Level.ERROR, event, "fault", fault, "at", trace.length == 0 ? "" : trace[0]);
+        sink.write(Level.ERROR, event, "fault", fault, "at", trace.length == 0 ? "" : trace[0]);
     }
 
     /** What must not be, and is no exception: told each time. */
     public void error(String event, Object... pairs) {
-        sink.line(Level.ERROR, event, pairs);
+        sink.write(Level.ERROR, event, pairs);
     }
 
     private static String plain(InstantSource clock, Level level, String event, Object... pairs) {
--- a/router/src/main/java/ironwind/net/LogicTask.java
+++ b/router/src/main/java/ironwind/net/LogicTask.java
@@ -45,7 +45,7 @@
     private final Timers timers;
     private final Deployment deployment;
     private final Inbound logic;
-    private final HostConnections hosts;
+    private final HostConnectionPool hosts;
     private final Span probeTime;
     private final Span answerSlack;
     private final Counters counters;
@@ -53,7 +53,7 @@
     private final Queue<Event> queue = new ConcurrentLinkedQueue<>();
     private final AtomicBoolean batchDue = new AtomicBoolean();
     private final Map<Rpc, Exchange> exchanges = new HashMap<>();
-    private final Map<CallOut, Sending> sendings = new HashMap<>();
+    private final Map<CallOut, CallOutRequest> sendings = new HashMap<>();
 
     /** Of RPCs without their final answer. */
     private final Map<String, Exchange> openIds = new HashMap<>();
@@ -66,7 +66,7 @@
      * whose clients would wait longer: the process is killed soon after, and what is unanswered
      * then is lost.
      */
-    void endBy(Span fromNow) {
+    void capDeadlines(Span fromNow) {
         lastAnswer = Clock.read().plus(fromNow);
         for (Exchange exchange : List.copyOf(openIds.values())) {
             if (exchange.rpc != null && exchange.rpc.deadline.after(lastAnswer)) {
@@ -74,7 +74,7 @@
                 watch(exchange);
             }
         }
-        timers.after(
+        timers.schedule(
                 fromNow,
                 () ->
                         List.copyOf(sendings.values())
@@ -87,7 +87,7 @@
      * @param waited how long it had lain in its socket before it was read
      * @param roomless there is no memory or time left to hold it
      */
-    record Asked(
+    record RpcRequest(
             String id,
             Method method,
             Customer customer,
@@ -106,7 +106,7 @@
             Timers timers,
             RouterConfig facts,
             Function<Outbound, Inbound> module,
-            HostConnections hosts,
+            HostConnectionPool hosts,
             Counters counters,
             Log log) {
         this.timers = timers;
@@ -124,7 +124,7 @@
     private void put(Exchange concerned, Consumer<Moment> act) {
         queue.add(new Event(concerned, act));
         if (batchDue.compareAndSet(false, true)) {
-            timers.soon(this::batch);
+            timers.execute(this::batch);
         }
     }
 
@@ -151,7 +151,7 @@
     }
 
     /** RPCs that have no final answer yet. */
-    int open() {
+    int openRpcCount() {
         return openIds.size();
     }
 
@@ -159,7 +159,7 @@
      * Says which RPCs end without an answer, by what hosts they may have reached: for the last
      * moment of a process.
      */
-    void tellUnanswered() {
+    void logUnanswered() {
         for (Exchange exchange : openIds.values()) {
             List<String> hosts =
                     exchange.rpc == null
@@ -179,13 +179,13 @@
     }
 
     /** Memory may be free for answers of hosts that wait for it. */
-    void memoryFreed() {
+    void onMemoryReleased() {
         hosts.memoryFreed();
     }
 
     // ---- what comes in
 
-    void listed(boolean complete, List<HostEntry> entries, Runnable before) {
+    void onDiscoveryUpdate(boolean complete, List<HostEntry> entries, Runnable before) {
         put(
                 null,
                 time -> {
@@ -196,35 +196,39 @@
     }
 
     /** What cannot be taken: an id that is open already, or a group that no list has named. */
-    void check(Asked asked) {
-        if (openIds.containsKey(asked.id)) {
+    void validate(RpcRequest request) {
+        if (openIds.containsKey(request.id)) {
             throw new PgException(
                     PgException.SYNTAX_ERROR, "the comment's id is that of another open request");
         }
-        if (logic.group(asked.group) == null) {
+        if (logic.group(request.group) == null) {
             throw new PgException(
                     PgException.SYNTAX_ERROR, "the comment's cluster names nothing known");
         }
     }
 
-    void arrived(Exchange exchange, Asked asked) {
+    void onRpcArrived(Exchange exchange, RpcRequest request) {
         counters.add(Count.RPCS);
-        openIds.put(asked.id, exchange);
+        openIds.put(request.id, exchange);
         put(
                 exchange,
                 time -> {
                     Rpc rpc =
                             new Rpc(
-                                    asked.id,
-                                    asked.method,
-                                    asked.customer,
-                                    logic.group(asked.group),
-                                    asked.session,
+                                    request.id,
+                                    request.method,
+                                    request.customer,
+                                    logic.group(request.group),
+                                    request.session,
                                     time,
-                                    time.plus(asked.waits).minus(asked.waited).earlier(lastAnswer),
-                                    asked.after <= 0 ? Moment.NEVER : Moment.ofMillis(asked.after),
-                                    asked.repeat);
-                    rpc.rejectOnArrival = asked.roomless;
+                                    time.plus(request.waits)
+                                            .minus(request.waited)
+                                            .earlier(lastAnswer),
+                                    request.after <= 0
+                                            ? Moment.NEVER
+                                            : Moment.ofMillis(request.after),
+                                    request.repeat);
+                    rpc.rejectOnArrival = request.roomless;
                     exchange.rpc = rpc;
                     exchanges.put(rpc, exchange);
                     watch(exchange);
@@ -237,7 +241,8 @@
         if (exchange.guard != null) {
             exchange.guard.cancel();
         }
-        exchange.guard = timers.after(longest, () -> put(exchange, due -> overdue(due, exchange)));
+        exchange.guard =
+                timers.schedule(longest, () -> put(exchange, due -> overdue(due, exchange)));
     }
 
     /**
@@ -251,7 +256,7 @@
         }
     }
 
-    void left(Exchange exchange) {
+    void onClientLeft(Exchange exchange) {
         if (exchange.statement == null) {
             return;
         }
@@ -260,7 +265,7 @@
                 time -> {
                     freeId(exchange);
                     if (exchange.rpc != null && exchange.rpc.state != Rpc.State.DONE) {
-                        counters.add(Count.LEFT);
+                        counters.add(Count.ABANDONED);
                         logic.onClientLeft(time, exchange.rpc);
                         forget(exchange.rpc);
                     }
@@ -268,7 +273,7 @@
     }
 
     /** The connection of a sending has come up: it is written if the module still stands by it. */
-    void up(Sending sending) {
+    void up(CallOutRequest sending) {
         put(
                 sending.exchange,
                 time -> {
@@ -282,7 +287,7 @@
                 });
     }
 
-    void ended(Sending sending, Ending ending, HostWord word) {
+    void ended(CallOutRequest sending, Ending ending, HostAnswer word) {
         counters.add(ending);
         put(sending.exchange, time -> close(time, sending, ending, word));
     }
@@ -291,7 +296,7 @@
         put(null, time -> logic.onProbeEnded(time, host, answered, role, position));
     }
 
-    private void close(Moment time, Sending sending, Ending ending, HostWord word) {
+    private void close(Moment time, CallOutRequest sending, Ending ending, HostAnswer word) {
         CallOut callOut = sending.callOut;
         Rpc rpc = callOut.rpc;
         Outcome outcome = ending.outcome();
@@ -323,19 +328,19 @@
                 limit.us() > 0
                         ? callOut.rpc.deadline.earlier(now.plus(limit))
                         : callOut.rpc.deadline;
-        Sending sending = new Sending(this, callOut, exchanges.get(callOut.rpc));
+        CallOutRequest sending = new CallOutRequest(this, callOut, exchanges.get(callOut.rpc));
         sendings.put(callOut, sending);
         sending.begin(
                 hosts,
                 now,
-                timers.after(until.since(Clock.read()), () -> sending.giveUp(Ending.TIMED_OUT)));
+                timers.schedule(until.since(Clock.read()), () -> sending.giveUp(Ending.TIMED_OUT)));
     }
 
     @Override
     public void cancel(CallOut callOut) {
-        Sending sending = sendings.get(callOut);
+        CallOutRequest sending = sendings.get(callOut);
         if (sending != null) {
-            sending.giveUp(Ending.CALLED_OFF);
+            sending.giveUp(Ending.CANCELLED);
         }
     }
 
@@ -345,7 +350,9 @@
                 rpc,
                 Count.PUSHED_BACK,
                 new PgError(
-                        PUSHED_BACK.sqlState(), PUSHED_BACK.message(), Timers.told(comeBackAfter)));
+                        PUSHED_BACK.sqlState(),
+                        PUSHED_BACK.message(),
+                        Timers.formatRetryAfter(comeBackAfter)));
     }
 
     @Override
@@ -381,7 +388,7 @@
         counters.add(Count.PROBES);
         Probe probe = new Probe(this, host);
         String question = deployment.probesReportPosition() ? Probe.FOR_REPORT : Probe.FOR_LIFE;
-        probe.begin(hosts, question, timers.after(probeTime, probe::giveUp));
+        probe.begin(hosts, question, timers.schedule(probeTime, probe::giveUp));
     }
 
     @Override
@@ -391,6 +398,6 @@
 
     @Override
     public void wakeAt(Moment when) {
-        timers.after(when.since(now), this::batch);
+        timers.schedule(when.since(now), this::batch);
     }
 }
--- a/router/src/main/java/ironwind/net/Probe.java
+++ b/router/src/main/java/ironwind/net/Probe.java
@@ -6,7 +6,7 @@
 import ironwind.pg.Encoder;
 
 /** One probe on its way. */
-final class Probe implements HostConnection.Use {
+final class Probe implements HostConnection.Request {
     /** PROTOCOL: what asks for a sign of life, and what for a load report. */
     static final String FOR_LIFE = "SELECT 1";
 
@@ -23,7 +23,7 @@
         this.host = host;
     }
 
-    void begin(HostConnections hosts, String asked, Timers.Timer timeOut) {
+    void begin(HostConnectionPool hosts, String asked, Timers.Timer timeOut) {
         question = asked;
         limit = timeOut;
         connection = hosts.open(host.id, this);
@@ -45,7 +45,7 @@
     }
 
     @Override
-    public void ended(Ending ending, HostWord word) {
+    public void ended(Ending ending, HostAnswer word) {
         limit.cancel();
         boolean answered = ending == Ending.SERVED;
         task.probed(
--- a/router/src/main/java/ironwind/net/Rehearsal.java
+++ b/router/src/main/java/ironwind/net/Rehearsal.java
@@ -54,7 +54,7 @@
     private final Timers timers;
     private final RouterConfig facts;
     private final SplittableRandom random;
-    private final HostConnections hosts;
+    private final HostConnectionPool hosts;
     private final LogicTask task;
     private final Set<String> ids = new HashSet<>();
     private final IntConsumer done;
@@ -77,7 +77,7 @@
         Counters counters = new Counters();
         Log log = new Log(new PrintStream(OutputStream.nullOutputStream()));
         this.hosts =
-                new HostConnections(
+                new HostConnectionPool(
                         loop,
                         timers,
                         buffers,
@@ -87,7 +87,7 @@
                         counters,
                         log);
         this.task = new LogicTask(timers, this.facts, module, hosts, counters, log);
-        timers.after(LONGEST, this::end);
+        timers.schedule(LONGEST, this::end);
     }
 
     /** Begins, with the router's own address as that of all hosts. */
@@ -106,7 +106,7 @@
                                                 Moment.NEVER,
                                                 id.equals(HOSTS.get(0))))
                         .toList();
-        task.listed(true, list, () -> HOSTS.forEach(id -> hosts.locate(id, door)));
+        task.onDiscoveryUpdate(true, list, () -> HOSTS.forEach(id -> hosts.setAddress(id, door)));
         for (int i = 0; i < AT_ONCE; i++) {
             next();
         }
@@ -142,9 +142,9 @@
                                 + ",cluster=0 */ SELECT val FROM state WHERE uid = '"
                                 + id
                                 + "'");
-        task.arrived(
-                new Exchange(statement, () -> timers.soon(this::next)),
-                new LogicTask.Asked(
+        task.onRpcArrived(
+                new Exchange(statement, () -> timers.execute(this::next)),
+                new LogicTask.RpcRequest(
                         id,
                         method,
                         customer,
--- a/router/src/main/java/ironwind/net/Router.java
+++ b/router/src/main/java/ironwind/net/Router.java
@@ -52,7 +52,7 @@
     private final Context context;
     private boolean rehearses = true;
     private Clients clients;
-    private HostConnections hosts;
+    private HostConnectionPool hosts;
     private Discovery discovery;
     private LogicTask logic;
 
@@ -119,7 +119,7 @@
                     LoopSocket.Buffers buffers = new LoopSocket.Buffers();
                     IoEventLoop loop = loop();
                     hosts =
-                            new HostConnections(
+                            new HostConnectionPool(
                                     loop,
                                     timers,
                                     buffers,
@@ -220,7 +220,7 @@
         context.runOnContext(
                 nothing -> {
                     log.info("reloaded", "discovery", next.discovery());
-                    discovery.moveTo(next.discovery());
+                    discovery.switchTo(next.discovery());
                     done.complete();
                 });
         return done.future();
@@ -238,7 +238,7 @@
                 nothing -> {
                     long untilKilled =
                             Math.min(MOST_DEADLINE_MS, longestDeadline()) + KILLED_AFTER_MS;
-                    logic.endBy(Span.ofMillis(untilKilled - LAST_WRITES_MS));
+                    logic.capDeadlines(Span.ofMillis(untilKilled - LAST_WRITES_MS));
                     vertx.setTimer(
                             (long) (SERVING_PART * untilKilled),
                             timer -> clients.dismissAll(gone::tryComplete));
@@ -259,7 +259,7 @@
         Promise<Void> stopped = Promise.promise();
         context.runOnContext(
                 nothing -> {
-                    logic.tellUnanswered();
+                    logic.logUnanswered();
                     log.info("stopped", "counters", counters);
                     clients.stop();
                     discovery.stop();
--- a/router/src/main/java/ironwind/net/Show.java
+++ b/router/src/main/java/ironwind/net/Show.java
@@ -82,7 +82,7 @@
         add(rows, "inside", keeper.connectionCount());
         add(rows, "most", keeper.limits().maxConnections());
         add(rows, "addresses", keeper.addressCount());
-        add(rows, "open_rpcs", logic.open());
+        add(rows, "open_rpcs", logic.openRpcCount());
         add(rows, "owed_clients", debtors.clientCount());
         add(rows, "waiting_for_turn", turns.queueSize());
         add(rows, "most_waiting_for_turn", turns.peakQueueSize());
--- a/router/src/main/java/ironwind/net/Timers.java
+++ b/router/src/main/java/ironwind/net/Timers.java
@@ -24,19 +24,19 @@
         void cancel();
     }
 
-    Timer after(Span span, Runnable action) {
+    Timer schedule(Span span, Runnable action) {
         Future<?> timer =
                 loop.schedule(guarded(action), Math.max(0, span.us()), TimeUnit.MICROSECONDS);
         return () -> timer.cancel(false);
     }
 
     /** Until the program ends. */
-    void every(Span span, Runnable action) {
+    void scheduleAtFixedRate(Span span, Runnable action) {
         loop.scheduleAtFixedRate(guarded(action), span.us(), span.us(), TimeUnit.MICROSECONDS);
     }
 
     /** Once the loop has done what it is at. */
-    void soon(Runnable action) {
+    void execute(Runnable action) {
         loop.execute(guarded(action));
     }
 
@@ -51,7 +51,7 @@
     }
 
     /** A time to come back after, as an error's detail tells it; null for none. */
-    static String told(Span comeBackAfter) {
+    static String formatRetryAfter(Span comeBackAfter) {
         return comeBackAfter.us() > 0 ? Long.toString(millis(comeBackAfter)) : null;
     }
 
--- a/router/src/test/java/ironwind/net/EndingTest.java
+++ b/router/src/test/java/ironwind/net/EndingTest.java
@@ -11,56 +11,59 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 class EndingTest {
-    /** The protocol's table of outcomes: what must never run twice hangs on the last column. */
+    /**
+     * The protocol's table of outcomes. The last column decides whether a non-idempotent RPC may be
+     * sent again; a wrong entry could run it twice.
+     */
     @ParameterizedTest(name = "{0}: {1}, has run: {2}")
     @CsvSource({
         "SERVED, OK, maybe",
-        "MISSED, INELIGIBLE, never",
+        "INELIGIBLE, INELIGIBLE, never",
         "FAILED, ERROR, maybe",
-        "TURNED_AWAY, OVERLOADED, never",
-        "REFUSED, CONNECT_FAILED, never",
-        "NEVER_UP, CONNECT_FAILED, never",
-        "BROKE_UNWRITTEN, CONNECT_FAILED, never",
+        "OVERLOADED, OVERLOADED, never",
+        "CONNECTION_REFUSED, CONNECT_FAILED, never",
+        "NOT_ESTABLISHED, CONNECT_FAILED, never",
+        "LOST_BEFORE_SENT, CONNECT_FAILED, never",
         "NO_SOCKET, CONNECT_FAILED, never",
-        "BROKE_WRITTEN, CONNECTION_LOST, maybe",
-        "GARBLED, CONNECTION_LOST, maybe",
+        "LOST_AFTER_SENT, CONNECTION_LOST, maybe",
+        "MALFORMED_ANSWER, CONNECTION_LOST, maybe",
         "TIMED_OUT, TIMED_OUT, maybe",
-        "CALLED_OFF, CANCELLED, maybe",
-        "LAPSED, NOT_SENT, never"
+        "CANCELLED, CANCELLED, maybe",
+        "NOT_SENT, NOT_SENT, never"
     })
-    void eachEndingHasItsOutcome(Ending ending, Outcome outcome, String hasRun) {
+    void endingsOfCallOutsMapToOutcomes(Ending ending, Outcome outcome, String hasRun) {
         assertThat(ending.outcome()).isEqualTo(outcome);
         assertThat(ending.outcome().provesNotRun).isEqualTo(hasRun.equals("never"));
     }
 
     @Test
-    void onlyConnectionsThatCanCarryNoCallOutHaveNone() {
-        Set<Ending> none = EnumSet.noneOf(Ending.class);
+    void onlyEndingsOfConnectionsWithoutCallOutsHaveNoOutcome() {
+        Set<Ending> withoutOutcome = EnumSet.noneOf(Ending.class);
         for (Ending ending : Ending.values()) {
             if (ending.outcome() == null) {
-                none.add(ending);
+                withoutOutcome.add(ending);
             }
         }
-        assertThat(none)
+        assertThat(withoutOutcome)
                 .containsExactly(
                         Ending.IDLE_CLOSED,
                         Ending.CLOSED_BY_HOST,
-                        Ending.SURPLUS,
+                        Ending.UNSOLICITED_DATA,
                         Ending.CLIENT_LEFT,
-                        Ending.CLIENT_DISMISSED,
-                        Ending.CLIENT_MALFORMED);
+                        Ending.CLIENT_CLOSED_BY_ROUTER,
+                        Ending.CLIENT_FATAL_ERROR);
     }
 
     @ParameterizedTest(name = "{0}: {1}")
     @CsvSource({
-        "25006, MISSED",
-        "72000, MISSED",
+        "25006, INELIGIBLE",
+        "72000, INELIGIBLE",
         "XX000, FAILED",
-        "53300, TURNED_AWAY",
-        "57P03, TURNED_AWAY",
+        "53300, OVERLOADED",
+        "57P03, OVERLOADED",
         "08P01, FAILED"
     })
-    void errorsAreToldBySqlstate(String code, Ending ending) {
+    void errorAnswersAreClassifiedBySqlState(String code, Ending ending) {
         assertThat(Ending.of(new PgError(code, "", null))).isEqualTo(ending);
     }
 }
--- a/router/src/test/java/ironwind/net/HostWordTest.java
+++ b/router/src/test/java/ironwind/net/HostAnswerTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-class HostWordTest {
+class HostAnswerTest {
     private static final Moment NOW = Moment.ofMillis(1767225600124L);
 
     /**
@@ -32,7 +32,7 @@
     })
     void positionAndRoleComeFromTheParameters(
             String applied, String role, Long position, Role told) {
-        HostWord word = new HostWord();
+        HostAnswer word = new HostAnswer();
         word.hear(new HostMessage.ParameterStatus("applied_ms", applied == null ? "" : applied));
         word.hear(new HostMessage.ParameterStatus("role", role == null ? "" : role));
         assertThat(word.position(NOW))
@@ -51,7 +51,7 @@
             })
     void positionAndRoleOfAReportComeFromItsRow(String report, Long position, Role told) {
         Row row = Row.ofText("load", report);
-        HostWord word = new HostWord();
+        HostAnswer word = new HostAnswer();
         word.hear(new HostMessage.RowDescription(row.description()));
         word.hear(new HostMessage.DataRow(row.data()));
         assertThat(word.reportedPosition(NOW))
--- a/router/src/test/java/ironwind/net/LogTest.java
+++ b/router/src/test/java/ironwind/net/LogTest.java
@@ -36,7 +36,7 @@
     /** Guards against a library's warning that takes a thread along where no file can be opened. */
     @Test
     void whatLibrariesLogIsAWarningLikeOthers() {
-        log.withLibraries();
+        log.withLibraryLogs();
         Logger.getLogger("io.netty.any")
                 .log(Level.WARNING, "Failed to accept", new IOException("Too many open files"));
         assertThat(lines.toString())
