--- a/router/src/main/java/ironwind/net/CallOutRequest.java
+++ b/router/src/main/java/ironwind/net/CallOutRequest.java
@@ -4,63 +4,71 @@
 import ironwind.model.Moment;
 import ironwind.pg.Encoder;
 
-/** One call-out on its way: it has one end, and tells the module's task of it once. */
+/** The request of a call-out. It ends exactly once, which it reports to the {@link LogicTask}. */
 final class CallOutRequest implements HostConnection.Request {
     final CallOut callOut;
     final Exchange exchange;
     private final LogicTask task;
     private HostConnection connection;
-    private Timers.Timer limit;
-    private boolean over;
+    private Timers.Timer timeout;
+    private boolean ended;
 
+    /** Creates a request that has not been started. */
     CallOutRequest(LogicTask task, CallOut callOut, Exchange exchange) {
         this.task = task;
         this.callOut = callOut;
         this.exchange = exchange;
     }
 
-    /** Goes out at once where a connection is idle, else once one has come up. */
-    void begin(HostConnectionPool hosts, Moment now, Timers.Timer timeOut) {
-        limit = timeOut;
-        connection = hosts.open(callOut.host.id, this);
+    /** Writes the request at once if a connection is idle, otherwise once one is established. */
+    void start(HostConnectionPool pool, Moment now, Timers.Timer timeoutTimer) {
+        timeout = timeoutTimer;
+        connection = pool.acquire(callOut.host.id, this);
         if (connection == null) {
-            ended(Ending.NO_SOCKET, null);
-        } else if (connection.isUp()) {
+            onEnded(Ending.NO_SOCKET, null);
+        } else if (connection.isReady()) {
             write(now);
         }
     }
 
-    boolean isOver() {
-        return over;
+    /** Whether the request has ended. */
+    boolean hasEnded() {
+        return ended;
     }
 
     @Override
-    public void up() {
-        task.up(this);
+    public void onConnected() {
+        task.onConnected(this);
     }
 
+    /** Writes the request with the time that is left until the client's deadline, at least 1 ms. */
     void write(Moment now) {
-        long left = callOut.rpc.deadline.since(now).us() / 1_000;
-        connection.write(Encoder.query(exchange.statement.withTimeLeft(Math.max(1, left))));
+        long timeLeftMs = callOut.rpc.deadline.since(now).us() / 1_000;
+        connection.write(Encoder.query(exchange.statement.withTimeLeft(Math.max(1, timeLeftMs))));
     }
 
-    /** Its connection is up, but the request is no longer to be written. */
-    void leave() {
-        connection.leave();
-        ended(Ending.NOT_SENT, null);
+    /** Gives up the request before it is written, and leaves its established connection open. */
+    void skip() {
+        connection.releaseUnused();
+        onEnded(Ending.NOT_SENT, null);
     }
 
-    /** Closes its connection. What was not written yet has never run. */
+    /**
+     * Gives up the request and closes its connection.
+     *
+     * @param ending reported if the request was written; otherwise it has not run, and {@link
+     *     Ending#NOT_SENT} is reported
+     */
     void giveUp(Ending ending) {
-        if (!over) {
-            ended(connection.giveUp() ? ending : Ending.NOT_SENT, null);
+        if (!ended) {
+            onEnded(connection.giveUp() ? ending : Ending.NOT_SENT, null);
         }
     }
 
     @Override
-    public void ended(Ending ending, HostAnswer word) {
-        over = true;
-        limit.cancel();
-        task.ended(this, ending, word);
+    public void onEnded(Ending ending, HostAnswer answer) {
+        ended = true;
+        timeout.cancel();
+        task.onCallOutEnded(this, ending, answer);
     }
 }
--- a/router/src/main/java/ironwind/net/Clock.java
+++ b/router/src/main/java/ironwind/net/Clock.java
@@ -3,14 +3,15 @@
 import ironwind.model.Moment;
 import java.time.Instant;
 
-/** Unix time in microseconds. */
+/** The system clock as a {@link Moment}: Unix time in microseconds. */
 final class Clock {
-    private static final long MILLION = 1_000_000;
+    private static final long MICROS_PER_SECOND = 1_000_000;
 
     private Clock() {}
 
+    /** Returns the current time. */
     static Moment read() {
         Instant now = Instant.now();
-        return new Moment(now.getEpochSecond() * MILLION + now.getNano() / 1_000);
+        return new Moment(now.getEpochSecond() * MICROS_PER_SECOND + now.getNano() / 1_000);
     }
 }
--- a/router/src/main/java/ironwind/net/Discovery.java
+++ b/router/src/main/java/ironwind/net/Discovery.java
@@ -23,45 +23,51 @@
 import java.util.List;
 import java.util.Map;
 
-/** Keeps one watch open on discovery, and tells the module's task what it says. */
+/**
+ * Watches the discovery service with long polling, and passes its updates to the {@link LogicTask}.
+ */
 final class Discovery {
     private static final String PATH = "/registry/instances";
     private static final String PRIMARY = "primary";
 
-    /** How long a watch waits for news; PROTOCOL allows up to a minute. */
-    private static final long WAIT_MS = 5_000;
+    /** How long a poll waits for an update; the protocol specification allows up to a minute. */
+    private static final long POLL_WAIT_MS = 5_000;
 
-    /** PROTOCOL: what a call that may wait has to tell counts as told so long after the wait. */
-    private static final long GRACE_MS = 2_000;
+    /**
+     * Time for an answer beyond the wait: by the protocol specification, an update counts as
+     * delivered this long after the wait.
+     */
+    private static final long RESPONSE_TIMEOUT_MS = 2_000;
 
-    /** PROTOCOL: a watch goes on if the next call comes within 200 ms. */
-    private static final long RETRY_MS = 100;
+    /** By the protocol specification, a watch continues if the next poll comes within 200 ms. */
+    private static final long RETRY_DELAY_MS = 100;
 
     private final Vertx vertx;
     private HttpClientAgent client;
     private Address address;
     private final NameIndex names;
     private final LogicTask logic;
-    private final HostConnectionPool hosts;
+    private final HostConnectionPool pool;
     private final Counters counters;
     private final Log log;
     private long version = -1;
     private boolean stopped;
     private boolean failing;
-    private Runnable whenHeard = () -> {};
+    private Runnable onFirstAnswer = () -> {};
 
+    /** Creates a watch that {@link #start} begins. */
     Discovery(
             Vertx vertx,
-            RouterConfig facts,
+            RouterConfig config,
             LogicTask logic,
-            HostConnectionPool hosts,
+            HostConnectionPool pool,
             Counters counters,
             Log log) {
         this.vertx = vertx;
-        this.address = facts.discovery();
-        this.names = facts.names();
+        this.address = config.discovery();
+        this.names = config.names();
         this.logic = logic;
-        this.hosts = hosts;
+        this.pool = pool;
         this.counters = counters;
         this.log = log;
         this.client = newClient();
@@ -73,76 +79,78 @@
     }
 
     /**
-     * Tells what the router knew at its start, then asks for more; runs the action on the first
-     * answer.
+     * Applies the initial host list and starts polling.
+     *
+     * @param initialHostList a list as the discovery service would send it
+     * @param firstAnswer runs once, after the first answer of the service
      */
-    void start(JsonObject known, Runnable heard) {
-        tell(known);
+    void start(JsonObject initialHostList, Runnable firstAnswer) {
+        apply(initialHostList);
         version = -1;
-        whenHeard = heard;
-        ask();
+        onFirstAnswer = firstAnswer;
+        poll();
     }
 
     /**
-     * Leaves the present watch, and what it may still say, and asks for a full list at the new
-     * address.
+     * Switches to another address: drops the current watch, including answers that are still in
+     * flight, and asks there for a full list. Does nothing if the address is the same.
      */
     void switchTo(Address next) {
         if (!stopped && !next.equals(address)) {
-            HttpClientAgent left = client;
+            HttpClientAgent previous = client;
             address = next;
             client = newClient();
             version = -1;
-            ask();
-            left.close();
+            poll();
+            previous.close();
         }
     }
 
-    private void ask() {
+    private void poll() {
         if (stopped) {
             return;
         }
-        HttpClientAgent asked = client;
+        HttpClientAgent pollClient = client;
         boolean watch = version >= 0;
-        String uri = watch ? PATH + "?after=" + version + "&wait_ms=" + WAIT_MS : PATH;
-        long patience = GRACE_MS + (watch ? WAIT_MS : 0);
-        // A call that is silent for so long is cut, and its connection with it: the next one opens
-        // another.
+        String uri = watch ? PATH + "?after=" + version + "&wait_ms=" + POLL_WAIT_MS : PATH;
+        long idleTimeout = RESPONSE_TIMEOUT_MS + (watch ? POLL_WAIT_MS : 0);
+        // A poll that gets no data for this long fails, and its connection is closed; the next poll
+        // opens another.
         client.request(
                         new RequestOptions()
                                 .setMethod(HttpMethod.GET)
                                 .setHost(address.ip())
                                 .setPort(address.port())
                                 .setURI(uri)
-                                .setConnectTimeout(GRACE_MS)
-                                .setIdleTimeout(patience))
+                                .setConnectTimeout(RESPONSE_TIMEOUT_MS)
+                                .setIdleTimeout(idleTimeout))
                 .compose(request -> request.send().expecting(HttpResponseExpectation.SC_OK))
                 .compose(HttpClientResponse::body)
-                .onSuccess(body -> answered(asked, body))
-                .onFailure(cause -> failed(asked, cause));
+                .onSuccess(body -> onResponse(pollClient, body))
+                .onFailure(cause -> onFailure(pollClient, cause));
     }
 
-    private void answered(HttpClientAgent asked, Buffer body) {
-        if (asked != client) {
+    private void onResponse(HttpClientAgent pollClient, Buffer body) {
+        if (pollClient != client) {
             return;
         }
         try {
-            tell(body.toJsonObject());
+            apply(body.toJsonObject());
         } catch (RuntimeException malformed) {
-            failed(asked, malformed);
+            onFailure(pollClient, malformed);
             return;
         }
         if (failing) {
             log.info("discovery_back", "version", version);
             failing = false;
         }
-        whenHeard.run();
-        whenHeard = () -> {};
-        ask();
+        onFirstAnswer.run();
+        onFirstAnswer = () -> {};
+        poll();
     }
 
-    private void failed(HttpClientAgent asked, Throwable cause) {
-        if (asked != client || stopped) {
+    private void onFailure(HttpClientAgent pollClient, Throwable cause) {
+        if (pollClient != client || stopped) {
             return;
         }
         if (!failing) {
@@ -150,36 +158,36 @@
             failing = true;
         }
         vertx.setTimer(
-                RETRY_MS,
+                RETRY_DELAY_MS,
                 timer -> {
-                    if (asked == client) {
-                        ask();
+                    if (pollClient == client) {
+                        poll();
                     }
                 });
     }
 
-    /** Reads all of an answer before any of it counts. */
-    private void tell(JsonObject answer) {
+    /** Applies an answer, but only after all of it has been parsed. */
+    private void apply(JsonObject answer) {
         JsonArray servers = answer.getJsonArray("servers");
         boolean full = answer.getBoolean("full", true);
         List<HostEntry> entries = new ArrayList<>();
         Map<String, Address> addresses = new HashMap<>();
         for (int i = 0; i < servers.size(); i++) {
             JsonObject server = servers.getJsonObject(i);
-            HostEntry entry = entry(server);
+            HostEntry entry = parseEntry(server);
             entries.add(entry);
             addresses.put(entry.id(), Address.parse(server.getString("addr")));
         }
         version = answer.getLong("version");
         if (full || !entries.isEmpty()) {
             counters.add(Count.DISCOVERY_UPDATES);
-            logic.onDiscoveryUpdate(full, entries, () -> addresses.forEach(hosts::setAddress));
+            logic.onDiscoveryUpdate(full, entries, () -> addresses.forEach(pool::setAddress));
         }
     }
 
-    private HostEntry entry(JsonObject server) {
+    private HostEntry parseEntry(JsonObject server) {
         String state = server.getString("state");
-        DiscoveryState listing =
+        DiscoveryState discoveryState =
                 switch (state) {
                     case "Ready" -> DiscoveryState.READY;
                     case "Terminating" -> DiscoveryState.DRAINING;
@@ -190,21 +198,22 @@
         Moment started = startedMs == 0 ? Moment.NEVER : Moment.ofMillis(startedMs);
         return new HostEntry(
                 server.getString("id"),
-                index(names.zones(), server.getString("zone")),
-                index(names.kinds(), server.getString("kind")),
+                indexOf(names.zones(), server.getString("zone")),
+                indexOf(names.kinds(), server.getString("kind")),
                 server.getInteger("cell", 0),
-                listing,
+                discoveryState,
                 server.getDouble("weight", 1.0),
                 started,
                 PRIMARY.equals(server.getString("role")));
     }
 
-    /** Names that the settings don't have share the last number. */
-    private static int index(List<String> known, String name) {
-        int index = known.indexOf(name);
-        return index < 0 ? known.size() : index;
+    /** Returns the index of a name; all names that the settings don't have share the next one. */
+    private static int indexOf(List<String> names, String name) {
+        int index = names.indexOf(name);
+        return index < 0 ? names.size() : index;
     }
 
+    /** Ends the watch. */
     void stop() {
         stopped = true;
         client.close();
--- a/router/src/main/java/ironwind/net/HostAnswer.java
+++ b/router/src/main/java/ironwind/net/HostAnswer.java
@@ -11,66 +11,81 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** What a host said in one use of a connection. */
+/** The messages that a host sent in answer to one request, or during the startup sequence. */
 final class HostAnswer {
-    private static final int MILLIS = 3;
-    private static final int SECONDS = 6;
+    /** Decimal digits between milliseconds and microseconds. */
+    private static final int MILLIS_SCALE = 3;
 
-    /** Before or after the point: a Unix time in milliseconds has 13 for some centuries to come. */
-    private static final int MOST_DIGITS = 15;
+    /** Decimal digits between seconds and microseconds. */
+    private static final int SECONDS_SCALE = 6;
 
-    private static final Span ROUNDED_UP = Span.ofMillis(1);
+    /**
+     * Most digits before the decimal point, and most after it. A Unix time in milliseconds will
+     * have 13 before the point for some centuries.
+     */
+    private static final int MAX_DIGITS = 15;
+
+    /** How far a position may be ahead of the clock, because hosts may round up to milliseconds. */
+    private static final Span ROUNDING_TOLERANCE = Span.ofMillis(1);
 
-    private byte[] description;
-    private byte[] data;
-    private String tag;
-    private Ending failed;
+    private byte[] rowDescription;
+    private byte[] dataRow;
+    private String commandTag;
+    private Ending errorEnding;
     private final Map<String, String> parameters = new HashMap<>();
 
-    /** A {@link PgException} tells what does not belong into one answer, or not at its place. */
-    void hear(HostMessage message) {
+    /**
+     * Adds the next message.
+     *
+     * @throws PgException if the message is not allowed at this point of an answer
+     */
+    void add(HostMessage message) {
         if (message instanceof HostMessage.ParameterStatus parameter) {
             parameters.put(parameter.name(), parameter.value());
             return;
         } else if (message instanceof HostMessage.Ignored) {
             return;
         }
-        boolean inPlace = failed == null && tag == null;
+        boolean inOrder = errorEnding == null && commandTag == null;
         if (message instanceof HostMessage.RowDescription part) {
-            inPlace &= description == null;
-            description = part.body();
+            inOrder &= rowDescription == null;
+            rowDescription = part.body();
         } else if (message instanceof HostMessage.DataRow part) {
-            inPlace &= description != null && data == null;
-            data = part.body();
+            inOrder &= rowDescription != null && dataRow == null;
+            dataRow = part.body();
         } else if (message instanceof HostMessage.CommandComplete complete) {
-            inPlace &= data != null;
-            tag = complete.tag();
+            inOrder &= dataRow != null;
+            commandTag = complete.tag();
         } else if (message instanceof HostMessage.ErrorResponse error) {
-            failed = Ending.of(error.error());
+            errorEnding = Ending.of(error.error());
         }
-        if (!inPlace) {
+        if (!inOrder) {
             throw new PgException(
-                    PgException.PROTOCOL_VIOLATION, "an answer's messages come out of their order");
+                    PgException.PROTOCOL_VIOLATION, "unexpected order of messages in an answer");
         }
     }
 
-    /** How it ended, if no more comes. */
+    /** Returns how the request has ended if no further message comes. */
     Ending ending() {
-        return failed != null ? failed : tag != null ? Ending.SERVED : Ending.MALFORMED_ANSWER;
+        return errorEnding != null
+                ? errorEnding
+                : commandTag != null ? Ending.SERVED : Ending.MALFORMED_ANSWER;
     }
 
     /**
-     * Whether all that an answer needs has come: the rest is only whether the connection may be
-     * used again.
+     * Whether the answer is complete. A ReadyForQuery that follows only tells that the connection
+     * can be used again.
      */
-    boolean isWhole() {
-        return failed != null || tag != null;
+    boolean isComplete() {
+        return errorEnding != null || commandTag != null;
     }
 
+    /** Returns the answer's row; its parts are null as far as they have not arrived. */
     Row row() {
-        return new Row(description, data, tag);
+        return new Row(rowDescription, dataRow, commandTag);
     }
 
+    /** Returns the role that the host reported; {@link Role#UNKNOWN} for none. */
     Role role() {
         return switch (parameters.getOrDefault("role", "")) {
             case "primary" -> Role.PRIMARY;
@@ -79,43 +94,48 @@
         };
     }
 
-    /** The position it told, rounded down to what is sure; {@link Moment#NEVER} for none. */
+    /**
+     * Returns the log position that the host reported, rounded down; {@link Moment#NEVER} for none.
+     */
     Moment position(Moment now) {
-        return moment(parameters.get("applied_ms"), MILLIS, now);
+        return parsePosition(parameters.get("applied_ms"), MILLIS_SCALE, now);
     }
 
-    /** The role and position of a load report, which a probe's row holds. */
-    Role reportedRole() {
-        BigDecimal leads = number(reported("x1"));
-        return leads == null
+    /**
+     * Returns the role in a load report, which is the row of a probe's answer; {@link Role#UNKNOWN}
+     * for none.
+     */
+    Role loadReportRole() {
+        BigDecimal primaryFlag = parseNumber(loadReportValue("x1"));
+        return primaryFlag == null
                 ? Role.UNKNOWN
-                : leads.compareTo(BigDecimal.ONE) >= 0 ? Role.PRIMARY : Role.REPLICA;
+                : primaryFlag.compareTo(BigDecimal.ONE) >= 0 ? Role.PRIMARY : Role.REPLICA;
     }
 
-    Moment reportedPosition(Moment now) {
-        return moment(reported("x0"), SECONDS, now);
+    /** Returns the log position in a load report, rounded down; {@link Moment#NEVER} for none. */
+    Moment loadReportPosition(Moment now) {
+        return parsePosition(loadReportValue("x0"), SECONDS_SCALE, now);
     }
 
     /**
-     * The decimals are read exactly: a position that came out too high would let a read see too
-     * little.
+     * Parses a position as a decimal number, not in floating point: a position that is rounded up
+     * would let a read miss data.
      */
-    private static Moment moment(String text, int digitsToMicros, Moment now) {
-        BigDecimal number = number(text);
+    private static Moment parsePosition(String text, int scale, Moment now) {
+        BigDecimal number = parseNumber(text);
         if (number == null || number.signum() <= 0) {
             return Moment.NEVER;
         }
-        Moment told =
+        Moment position =
                 new Moment(
-                        number.movePointRight(digitsToMicros)
-                                .setScale(0, RoundingMode.FLOOR)
-                                .longValue());
-        // All machines read one clock: nothing can have been applied that is still to come.
-        return told.after(now.plus(ROUNDED_UP)) ? Moment.NEVER : told;
+                        number.movePointRight(scale).setScale(0, RoundingMode.FLOOR).longValue());
+        // All machines have the same clock, so no host can have applied a position in the future.
+        return position.after(now.plus(ROUNDING_TOLERANCE)) ? Moment.NEVER : position;
     }
 
-    private String reported(String name) {
-        String report = data == null ? null : row().text();
+    /** Returns a value of the load report, a list of name=value pairs; null if it is missing. */
+    private String loadReportValue(String name) {
+        String report = dataRow == null ? null : row().text();
         if (report != null) {
             for (String pair : report.split(",")) {
                 int equals = pair.indexOf('=');
@@ -127,14 +147,15 @@
         return null;
     }
 
-    private static BigDecimal number(String text) {
+    /** Returns null if the text is missing, not a number or out of range. */
+    private static BigDecimal parseNumber(String text) {
         try {
             BigDecimal number = text == null ? null : new BigDecimal(text);
-            boolean sane =
+            boolean inRange =
                     number != null
-                            && number.precision() - number.scale() <= MOST_DIGITS
-                            && number.scale() <= MOST_DIGITS;
-            return sane ? number : null;
+                            && number.precision() - number.scale() <= MAX_DIGITS
+                            && number.scale() <= MAX_DIGITS;
+            return inRange ? number : null;
         } catch (NumberFormatException e) {
             return null;
         }
--- a/router/src/main/java/ironwind/net/HostConnection.java
+++ b/router/src/main/java/ironwind/net/HostConnection.java
@@ -9,64 +9,83 @@
 import java.io.IOException;
 import java.net.ConnectException;
 
-/** One connection to a host: brought up, then used for one request after another. */
+/**
+ * A connection to a host. After the startup sequence it carries one request at a time and is
+ * returned to the pool in between.
+ */
 final class HostConnection implements LoopSocket.Owner {
     private static final String USER = "client";
     private static final String DATABASE = "core";
 
     final String hostId;
     private final HostConnectionPool pool;
-    private final FrameDecoder frames;
+    private final FrameDecoder decoder;
     private LoopSocket socket;
-    private boolean up;
+    private boolean ready;
     private boolean closed;
 
-    /** Whether the rest of a message is being waited for. */
-    private boolean limited;
+    /** Whether {@link #onMessageTimeout} is scheduled. */
+    private boolean messageTimeoutScheduled;
 
-    /** Bytes lent for what has come of an answer, and for the rest of its message. */
-    private int lent;
+    /** Bytes reserved for the received part of an answer and for the rest of its message. */
+    private int reservedBytes;
 
-    private int needs;
+    /** Bytes that reading waits for until the pool can reserve them; zero if it doesn't wait. */
+    private int awaitedBytes;
 
-    /** Of these, for the message that is not whole. */
-    private int pendingLent;
+    /** Part of {@link #reservedBytes} that belongs to the incomplete message. */
+    private int reservedForMessage;
 
-    private Request use;
-    private HostAnswer word = new HostAnswer();
+    /** The current request; null if the connection is idle. */
+    private Request request;
 
-    /** Whether a request was begun on it, and how much of that the system has not taken. */
-    private boolean asked;
+    private HostAnswer answer = new HostAnswer();
 
-    private int unwritten;
+    /** Whether writing the request has begun. */
+    private boolean writeStarted;
+
+    /** Bytes of the request that the socket has not accepted yet. */
+    private int unwrittenBytes;
+
+    /** When the connection was last returned to the pool. */
     Moment idleSince = Moment.NEVER;
 
-    /** One use of a connection: a request and its answer. */
+    /** A request that occupies the connection until it ends. */
     interface Request {
-        /** The connection is up: time to {@link #write} the request, or to {@link #leave}. */
-        void up();
-
-        /** Called once, unless the use was given up by its owner. */
-        void ended(Ending ending, HostAnswer word);
+        /**
+         * The connection is ready: the request is to be written with {@link HostConnection#write},
+         * or given up with {@link HostConnection#releaseUnused}.
+         */
+        void onConnected();
+
+        /**
+         * The request has ended. The connection calls this once, and not at all after {@link
+         * HostConnection#giveUp} or {@link HostConnection#releaseUnused}.
+         *
+         * @param answer what the host sent; null if no connection could be acquired or the request
+         *     was given up
+         */
+        void onEnded(Ending ending, HostAnswer answer);
     }
 
-    HostConnection(String hostId, HostConnectionPool pool, Request use) {
+    HostConnection(String hostId, HostConnectionPool pool, Request request) {
         this.hostId = hostId;
         this.pool = pool;
-        this.frames = new FrameDecoder(false, HostMessage.TYPES, pool.longestMessage);
-        this.use = use;
+        this.decoder = new FrameDecoder(false, HostMessage.TYPES, pool.maxMessageBytes);
+        this.request = request;
     }
 
-    boolean isUp() {
-        return up;
+    /** Whether the startup sequence is complete. */
+    boolean isReady() {
+        return ready;
     }
 
-    /** Its socket begins to come up. */
-    void begin(LoopSocket begun) {
-        socket = begun;
+    /** Sets the socket, which is still connecting. */
+    void attach(LoopSocket connecting) {
+        socket = connecting;
     }
 
-    /** The socket is there: says hello, and waits for the host's welcome. */
+    /** Starts the startup sequence. */
     @Override
     public void connected() {
         if (!closed) {
@@ -77,224 +96,234 @@
 
     @Override
     public void unconnected(IOException cause) {
-        failed(
+        failConnect(
                 cause instanceof ConnectException
                         ? Ending.CONNECTION_REFUSED
                         : Ending.NOT_ESTABLISHED);
     }
 
-    void take(Request next) {
-        use = next;
+    /** Assigns the next request to an idle connection. */
+    void assign(Request next) {
+        request = next;
     }
 
-    void write(byte[] request) {
-        word = new HostAnswer();
-        asked = true;
-        unwritten = socket.write(request);
+    /** Writes the request. What the socket does not accept at once is written later. */
+    void write(byte[] bytes) {
+        answer = new HostAnswer();
+        writeStarted = true;
+        unwrittenBytes = socket.write(bytes);
     }
 
     @Override
     public void taken(int bytes) {
-        unwritten = Math.max(0, unwritten - bytes);
+        unwrittenBytes = Math.max(0, unwrittenBytes - bytes);
     }
 
-    /** The use is over before its request was written. */
-    void leave() {
-        use = null;
-        pool.idle(this);
+    /** Gives up the request before it is written, and returns the connection to the pool. */
+    void releaseUnused() {
+        request = null;
+        pool.release(this);
     }
 
     /**
-     * Gives up a use, and the connection with it; its owner hears no more of it. Tells whether it
-     * may have run.
+     * Gives up the request and closes the connection. The request is not notified.
+     *
+     * @return whether the request was written completely and may have run
      */
     boolean giveUp() {
-        boolean mayHaveRun = wasWritten();
-        use = null;
+        boolean mayHaveRun = isRequestWritten();
+        request = null;
         close();
         return mayHaveRun;
     }
 
-    private boolean wasWritten() {
-        return asked && unwritten == 0;
+    private boolean isRequestWritten() {
+        return writeStarted && unwrittenBytes == 0;
     }
 
     @Override
     public void readable() {
         byte[] bytes = closed ? null : socket.read();
         if (bytes == null) {
-            hungUp();
+            onDisconnected();
         } else if (bytes.length > 0) {
-            received(bytes);
+            onBytes(bytes);
         }
     }
 
-    private void received(byte[] bytes) {
-        if (up && !wasWritten()) {
-            // More than an answer, or ahead of its request: nothing that comes here can be told
-            // apart any more.
-            pool.surplus(this, bytes.length);
-            end(use == null ? Ending.UNSOLICITED_DATA : Ending.LOST_BEFORE_SENT);
+    private void onBytes(byte[] bytes) {
+        if (ready && !isRequestWritten()) {
+            // Data behind an answer or ahead of the request's end: from here on, answers cannot be
+            // matched to requests.
+            pool.logUnsolicitedData(this, bytes.length);
+            end(request == null ? Ending.UNSOLICITED_DATA : Ending.LOST_BEFORE_SENT);
             return;
         }
         try {
-            frames.add(bytes);
-            for (Frame frame = frames.next(); frame != null && !closed; frame = frames.next()) {
-                pendingLent = 0;
+            decoder.add(bytes);
+            for (Frame frame = decoder.next(); frame != null && !closed; frame = decoder.next()) {
+                reservedForMessage = 0;
                 HostMessage message = HostMessage.decode(frame);
                 if (message instanceof HostMessage.ReadyForQuery) {
-                    ready();
+                    onReadyForQuery();
                 } else {
-                    word.hear(message);
+                    answer.add(message);
                 }
             }
-            reserve();
-            if (!closed && frames.hasBufferedBytes() && !limited) {
-                limited = true;
-                pool.later(
+            reserveMemory();
+            if (!closed && decoder.hasBufferedBytes() && !messageTimeoutScheduled) {
+                messageTimeoutScheduled = true;
+                pool.scheduleAfterConnectTimeout(
                         () -> {
-                            limited = false;
-                            stuck();
+                            messageTimeoutScheduled = false;
+                            onMessageTimeout();
                         });
             }
-        } catch (PgException fault) {
-            spoilt(fault);
+        } catch (PgException e) {
+            onMalformed(e);
         }
     }
 
     /**
-     * Memory for a message is had before it is read on; what came whole in one piece is passed on
-     * or dropped.
+     * Reserves memory for the rest of an incomplete message, and pauses reading until there is
+     * some. Messages that arrived completely need none: they have been passed on or dropped.
      */
-    private void reserve() {
-        int more = closed || !frames.hasBufferedBytes() ? 0 : frames.expectedBytes() - pendingLent;
-        if (more > 0 && needs == 0) {
-            needs = more;
-            if (pool.lend(this, more)) {
-                lent();
+    private void reserveMemory() {
+        int missing =
+                closed || !decoder.hasBufferedBytes()
+                        ? 0
+                        : decoder.expectedBytes() - reservedForMessage;
+        if (missing > 0 && awaitedBytes == 0) {
+            awaitedBytes = missing;
+            if (pool.tryReserveMemory(this, missing)) {
+                onMemoryReserved();
             } else {
                 socket.listen(false);
             }
         }
     }
 
-    int needs() {
-        return needs;
+    /** Returns the bytes of memory that the connection waits for; zero if it doesn't wait. */
+    int awaitedBytes() {
+        return awaitedBytes;
     }
 
-    private void lent() {
-        lent += needs;
-        pendingLent += needs;
-        needs = 0;
+    private void onMemoryReserved() {
+        reservedBytes += awaitedBytes;
+        reservedForMessage += awaitedBytes;
+        awaitedBytes = 0;
     }
 
-    /** The memory that it waited for is lent. */
-    void readOn() {
-        lent();
+    /** Resumes reading: the memory that the connection waited for has been reserved. */
+    void resumeReading() {
+        onMemoryReserved();
         socket.listen(true);
     }
 
-    private void giveBack() {
-        if (lent > 0 || needs > 0) {
-            int back = lent;
-            lent = 0;
-            pendingLent = 0;
-            needs = 0;
-            pool.giveBack(this, back);
+    private void releaseMemory() {
+        if (reservedBytes > 0 || awaitedBytes > 0) {
+            int released = reservedBytes;
+            reservedBytes = 0;
+            reservedForMessage = 0;
+            awaitedBytes = 0;
+            pool.releaseMemory(this, released);
         }
     }
 
-    private void spoilt(PgException fault) {
-        pool.garbled(this, fault);
-        end(wasWritten() ? Ending.MALFORMED_ANSWER : Ending.LOST_BEFORE_SENT);
+    private void onMalformed(PgException cause) {
+        pool.logMalformedData(this, cause);
+        end(isRequestWritten() ? Ending.MALFORMED_ANSWER : Ending.LOST_BEFORE_SENT);
     }
 
     /**
-     * Guards against an answer that has begun and never ends: its host is not silent, and all
-     * others wait.
+     * Ends the connection if a message has not arrived completely in time. Guards against an answer
+     * that begins and never ends: its host does not count as silent, and all others keep waiting.
      */
-    private void stuck() {
-        if (!closed && frames.hasBufferedBytes()) {
-            spoilt(
+    private void onMessageTimeout() {
+        if (!closed && decoder.hasBufferedBytes()) {
+            onMalformed(
                     new PgException(
-                            PgException.PROTOCOL_VIOLATION, "a message stays without its end"));
+                            PgException.PROTOCOL_VIOLATION,
+                            "the rest of a message did not arrive in time"));
         }
     }
 
-    private void ready() {
-        if (!up) {
-            up = true;
-            word = new HostAnswer();
-            if (frames.hasBufferedBytes()) {
-                throw new PgException(PgException.PROTOCOL_VIOLATION, "more than a welcome");
-            } else if (use == null) {
-                pool.idle(this);
+    private void onReadyForQuery() {
+        if (!ready) {
+            ready = true;
+            answer = new HostAnswer();
+            if (decoder.hasBufferedBytes()) {
+                throw new PgException(
+                        PgException.PROTOCOL_VIOLATION, "data after the startup sequence");
+            } else if (request == null) {
+                pool.release(this);
             } else {
-                use.up();
+                request.onConnected();
             }
         } else {
-            Request done = use;
-            HostAnswer said = word;
-            use = null;
-            asked = false;
-            word = new HostAnswer();
-            giveBack();
-            if (frames.hasBufferedBytes() || !said.isWhole()) {
+            Request ended = request;
+            HostAnswer received = answer;
+            request = null;
+            writeStarted = false;
+            answer = new HostAnswer();
+            releaseMemory();
+            if (decoder.hasBufferedBytes() || !received.isComplete()) {
                 close();
             } else {
-                pool.idle(this);
+                pool.release(this);
             }
-            done.ended(said.ending(), said);
+            ended.onEnded(received.ending(), received);
         }
     }
 
     @Override
     public void broken() {
-        // Not at once: whoever writes is in the midst of something.
-        pool.soon(this::hungUp);
+        // Deferred, because the caller of write is still at work.
+        pool.execute(this::onDisconnected);
     }
 
-    /** The connection is gone. What a host said before it closed still counts. */
-    private void hungUp() {
+    /** The connection is lost. An answer that is complete by then still counts. */
+    private void onDisconnected() {
         if (closed) {
             return;
         }
-        if (use == null) {
+        if (request == null) {
             end(Ending.CLOSED_BY_HOST);
-        } else if (word.isWhole()) {
-            end(word.ending());
+        } else if (answer.isComplete()) {
+            end(answer.ending());
         } else {
-            end(wasWritten() ? Ending.LOST_AFTER_SENT : Ending.LOST_BEFORE_SENT);
+            end(isRequestWritten() ? Ending.LOST_AFTER_SENT : Ending.LOST_BEFORE_SENT);
         }
     }
 
-    /** It never came up. */
-    void failed(Ending ending) {
-        if (!closed && !up) {
+    /** Ends the connection unless its startup sequence is complete. */
+    void failConnect(Ending ending) {
+        if (!closed && !ready) {
             end(ending);
         }
     }
 
     private void end(Ending ending) {
-        Request done = use;
-        HostAnswer said = word;
-        use = null;
+        Request ended = request;
+        HostAnswer received = answer;
+        request = null;
         close();
-        if (done == null) {
-            pool.ended(ending);
+        if (ended == null) {
+            pool.recordEnding(ending);
         } else {
-            done.ended(ending, said);
+            ended.onEnded(ending, received);
         }
     }
 
+    /** Closes the connection without notifying its request. */
     void close() {
         if (!closed) {
             closed = true;
-            giveBack();
-            pool.forget(this);
-            // Its descriptor is free, or will be before another is opened.
+            releaseMemory();
+            pool.remove(this);
+            // The descriptor is freed now, or in any case before another socket is opened.
             socket.close();
-            pool.released();
+            pool.onSocketClosed();
         }
     }
 }
--- a/router/src/main/java/ironwind/net/HostConnectionPool.java
+++ b/router/src/main/java/ironwind/net/HostConnectionPool.java
@@ -21,112 +21,124 @@
 import java.util.Set;
 import java.util.function.Predicate;
 
-/** All connections to hosts: one request at a time on each, a new one only where none is idle. */
+/**
+ * The pool of connections to hosts. A connection carries one request at a time; a new one is opened
+ * only if none to the host is idle.
+ */
 final class HostConnectionPool {
     /**
-     * Of the time after which a host closes an idle connection: a request that crosses the close
-     * would be lost.
+     * Fraction of the hosts' idle timeout after which the router itself closes an idle connection:
+     * a request that crosses the host's close would be lost.
      */
-    private static final double IDLE_PART = 0.75;
+    private static final double IDLE_TIMEOUT_FRACTION = 0.75;
 
-    /** Of the router's memory, what one message of a host may take. */
-    private static final double MESSAGE_PART = 1.0 / 64;
+    /** Fraction of the router's memory that one message of a host may take. */
+    private static final double MAX_MESSAGE_FRACTION = 1.0 / 64;
 
-    private static final int MEGABYTE = 1 << 20;
+    private static final int MEBIBYTE = 1 << 20;
 
-    /** What a host sends behind an answer of its own accord has come by then. */
-    private static final Span QUIET = Span.ofMillis(3);
+    /**
+     * How long a connection must have been idle before it is used again: by then, unsolicited data
+     * that the host sent behind its last answer has arrived.
+     */
+    private static final Span QUIET_PERIOD = Span.ofMillis(3);
 
     private final Timers timers;
     private final IoEventLoop loop;
     private final LoopSocket.Buffers buffers;
     private boolean stopped;
-    private final Span connectTime;
-    private final Span idleTime;
-    private final int most;
+    private final Span connectTimeout;
+    private final Span idleTimeout;
+    private final int maxSockets;
 
     /**
-     * Bytes that a message of a host may have. Some have more than PROTOCOL allows a value, and are
-     * whole.
+     * Largest accepted message body of a host, in bytes. It is above the protocol specification's
+     * cap on values, because some messages that are larger than that are valid.
      */
-    final int longestMessage;
+    final int maxMessageBytes;
 
     private final Counters counters;
     private final Log log;
     private final Map<String, Address> addresses = new HashMap<>();
-    private final Map<String, Deque<HostConnection>> idle = new LinkedHashMap<>();
-    private final Set<HostConnection> open = new HashSet<>();
 
-    /** Sockets that are coming up or open: what descriptors are counted by. */
-    private int sockets;
+    /** Idle connections by host id, the most recently used first. */
+    private final Map<String, Deque<HostConnection>> idleConnections = new LinkedHashMap<>();
+
+    private final Set<HostConnection> openConnections = new HashSet<>();
+
+    /** Sockets that are connecting or open; each takes a file descriptor. */
+    private int openSockets;
 
     /**
-     * Those that read no further until there is memory for the rest of their answer, in the order
-     * of waiting.
+     * Connections that don't read until there is memory for the rest of a message, oldest first.
      */
-    private final Deque<HostConnection> needMemory = new ArrayDeque<>();
+    private final Deque<HostConnection> waitingForMemory = new ArrayDeque<>();
 
     private final MemoryBudget budget;
 
+    /** Creates an empty pool that opens at most the given number of sockets. */
     HostConnectionPool(
             IoEventLoop loop,
             Timers timers,
             LoopSocket.Buffers buffers,
-            RouterConfig facts,
+            RouterConfig config,
             MemoryBudget budget,
-            int most,
+            int maxSockets,
             Counters counters,
             Log log) {
         this.loop = loop;
         this.timers = timers;
         this.buffers = buffers;
-        this.connectTime = facts.connectTimeout();
-        this.idleTime = facts.hostIdleTimeout().times(IDLE_PART);
+        this.connectTimeout = config.connectTimeout();
+        this.idleTimeout = config.hostIdleTimeout().times(IDLE_TIMEOUT_FRACTION);
         this.budget = budget;
-        this.most = most;
-        this.longestMessage = (int) (MESSAGE_PART * facts.memoryMb() * MEGABYTE);
+        this.maxSockets = maxSockets;
+        this.maxMessageBytes = (int) (MAX_MESSAGE_FRACTION * config.memoryMb() * MEBIBYTE);
         this.counters = counters;
         this.log = log;
-        sweepLater();
+        scheduleIdleSweep();
     }
 
-    private void sweepLater() {
+    private void scheduleIdleSweep() {
         timers.schedule(
-                idleTime.times(1 - IDLE_PART),
+                idleTimeout.times(1 - IDLE_TIMEOUT_FRACTION),
                 () -> {
                     if (!stopped) {
-                        closeStale();
-                        sweepLater();
+                        closeExpired();
+                        scheduleIdleSweep();
                     }
                 });
     }
 
-    /** Where a host listens; what is open to an address it had before is closed. */
+    /** Sets a host's address; if it has changed, idle connections to the old one are closed. */
     void setAddress(String hostId, Address address) {
-        Address before = addresses.put(hostId, address);
-        if (before != null && !before.equals(address)) {
+        Address previous = addresses.put(hostId, address);
+        if (previous != null && !previous.equals(address)) {
             closeIdle(hostId);
         }
     }
 
-    void letGo(Predicate<String> hostIds) {
+    /** Removes the addresses and idle connections of the hosts whose ids match. */
+    void removeHosts(Predicate<String> hostIds) {
         addresses.keySet().removeIf(hostIds);
-        idle.keySet().stream().filter(hostIds).toList().forEach(this::closeIdle);
-        idle.keySet().removeIf(hostIds);
+        idleConnections.keySet().stream().filter(hostIds).toList().forEach(this::closeIdle);
+        idleConnections.keySet().removeIf(hostIds);
     }
 
     /**
-     * Finds a connection for a use; it may have to come up first. Null where there is no socket for
-     * it.
+     * Acquires a connection for a request: an idle one, which is ready, or a new one that is still
+     * connecting.
+     *
+     * @return the connection; null if no socket or descriptor is free, or the host has no address
      */
-    HostConnection open(String hostId, HostConnection.Request use) {
-        HostConnection quiet = quiet(hostId);
-        if (quiet != null) {
-            quiet.take(use);
-            return quiet;
+    HostConnection acquire(String hostId, HostConnection.Request request) {
+        HostConnection idle = pollIdle(hostId);
+        if (idle != null) {
+            idle.assign(request);
+            return idle;
         }
         Address address = addresses.get(hostId);
-        if (address == null || !roomForOne()) {
+        if (address == null || !ensureFreeSocket()) {
             log.warn(
                     "no_socket",
                     "host",
@@ -134,43 +146,43 @@
                     "address",
                     address,
                     "sockets",
-                    sockets,
+                    openSockets,
                     "most",
-                    most);
+                    maxSockets);
             return null;
         }
-        HostConnection connection = new HostConnection(hostId, this, use);
+        HostConnection connection = new HostConnection(hostId, this, request);
         try {
-            connection.begin(LoopSocket.connect(loop, address, buffers, connection));
-        } catch (IOException none) {
+            connection.attach(LoopSocket.connect(loop, address, buffers, connection));
+        } catch (IOException e) {
             log.warn(
                     "no_descriptor",
                     "host",
                     hostId,
                     "sockets",
-                    sockets,
+                    openSockets,
                     "cause",
-                    none.getMessage());
+                    e.getMessage());
             return null;
         }
-        open.add(connection);
+        openConnections.add(connection);
         counters.add(Count.HOST_CONNECTIONS);
-        later(() -> connection.failed(Ending.NOT_ESTABLISHED));
-        sockets++;
+        scheduleAfterConnectTimeout(() -> connection.failConnect(Ending.NOT_ESTABLISHED));
+        openSockets++;
         return connection;
     }
 
     /**
-     * One that has been idle long enough to show whether more came behind its last answer than
-     * belongs to it.
+     * Removes and returns an idle connection to the host, or null. Only those are taken that have
+     * been idle for {@link #QUIET_PERIOD}, so that unsolicited data has been detected.
      */
-    private HostConnection quiet(String hostId) {
-        Deque<HostConnection> free = idle.get(hostId);
-        Moment before = Clock.read().minus(QUIET);
-        if (free != null) {
-            for (HostConnection connection : free) {
-                if (!connection.idleSince.after(before)) {
-                    free.remove(connection);
+    private HostConnection pollIdle(String hostId) {
+        Deque<HostConnection> candidates = idleConnections.get(hostId);
+        Moment latestIdleSince = Clock.read().minus(QUIET_PERIOD);
+        if (candidates != null) {
+            for (HostConnection connection : candidates) {
+                if (!connection.idleSince.after(latestIdleSince)) {
+                    candidates.remove(connection);
                     return connection;
                 }
             }
@@ -178,44 +190,55 @@
         return null;
     }
 
-    /** Where all sockets are taken, one that is idle elsewhere gives way. */
-    private boolean roomForOne() {
-        if (sockets >= most) {
-            for (Deque<HostConnection> free : idle.values()) {
-                if (!free.isEmpty()) {
-                    free.peekLast().close();
+    /**
+     * Returns whether a socket is free. If none is, closes one idle connection first, which may be
+     * to any host.
+     */
+    private boolean ensureFreeSocket() {
+        if (openSockets >= maxSockets) {
+            for (Deque<HostConnection> candidates : idleConnections.values()) {
+                if (!candidates.isEmpty()) {
+                    candidates.peekLast().close();
                     break;
                 }
             }
         }
-        return sockets < most;
+        return openSockets < maxSockets;
     }
 
-    void idle(HostConnection connection) {
+    /** Returns a connection to the pool. */
+    void release(HostConnection connection) {
         connection.idleSince = Clock.read();
-        idle.computeIfAbsent(connection.hostId, id -> new ArrayDeque<>()).push(connection);
+        idleConnections
+                .computeIfAbsent(connection.hostId, id -> new ArrayDeque<>())
+                .push(connection);
     }
 
-    void forget(HostConnection connection) {
-        open.remove(connection);
-        Deque<HostConnection> free = idle.get(connection.hostId);
-        if (free != null) {
-            free.remove(connection);
+    /** Removes a connection that is being closed. */
+    void remove(HostConnection connection) {
+        openConnections.remove(connection);
+        Deque<HostConnection> idle = idleConnections.get(connection.hostId);
+        if (idle != null) {
+            idle.remove(connection);
         }
     }
 
-    void released() {
-        sockets--;
+    /** The socket of a connection has been closed. */
+    void onSocketClosed() {
+        openSockets--;
     }
 
     /**
-     * Memory for an answer that has begun; where there is none, the connection is told once there
-     * is.
+     * Reserves memory for an answer that has arrived in part.
+     *
+     * @return whether the memory is reserved; if not, {@link HostConnection#resumeReading} is
+     *     called once it is
      */
-    boolean lend(HostConnection connection, int bytes) {
-        boolean lent = needMemory.isEmpty() && budget.tryReserve(Use.PARTIAL_ANSWERS, bytes);
-        if (!lent) {
-            needMemory.add(connection);
+    boolean tryReserveMemory(HostConnection connection, int bytes) {
+        boolean reserved =
+                waitingForMemory.isEmpty() && budget.tryReserve(Use.PARTIAL_ANSWERS, bytes);
+        if (!reserved) {
+            waitingForMemory.add(connection);
             log.warn(
                     "answer_waits_for_memory",
                     "host",
@@ -225,68 +248,75 @@
                     "lent",
                     budget.totalReserved());
         }
-        return lent;
+        return reserved;
     }
 
-    void giveBack(HostConnection connection, int bytes) {
+    /** Releases a connection's memory, and no longer lets it wait for more. */
+    void releaseMemory(HostConnection connection, int bytes) {
         budget.release(Use.PARTIAL_ANSWERS, bytes);
-        needMemory.remove(connection);
-        memoryFreed();
+        waitingForMemory.remove(connection);
+        onMemoryReleased();
     }
 
-    /** Those that wait for memory go on, as far as there is some. */
-    void memoryFreed() {
-        while (!needMemory.isEmpty()
-                && budget.tryReserve(Use.PARTIAL_ANSWERS, needMemory.peek().needs())) {
-            needMemory.poll().readOn();
+    /** Resumes connections that wait for memory, in order, as far as there is enough. */
+    void onMemoryReleased() {
+        while (!waitingForMemory.isEmpty()
+                && budget.tryReserve(Use.PARTIAL_ANSWERS, waitingForMemory.peek().awaitedBytes())) {
+            waitingForMemory.poll().resumeReading();
         }
     }
 
-    void ended(Ending ending) {
+    /** Counts the ending of a connection that carried no request. */
+    void recordEnding(Ending ending) {
         counters.add(ending);
     }
 
-    void surplus(HostConnection connection, int bytes) {
+    /** Logs that a host sent data that belongs to no request. */
+    void logUnsolicitedData(HostConnection connection, int bytes) {
         log.warn("host_surplus", "host", connection.hostId, "bytes", bytes);
     }
 
-    void soon(Runnable action) {
+    /** Runs an action on the event loop after the current one. */
+    void execute(Runnable action) {
         timers.execute(action);
     }
 
-    /** After the time in which a host that runs lets a connection come up. */
-    void later(Runnable action) {
-        timers.schedule(connectTime, action);
+    /** Runs an action after the connect timeout, within which a live host accepts a connection. */
+    void scheduleAfterConnectTimeout(Runnable action) {
+        timers.schedule(connectTimeout, action);
     }
 
-    void garbled(HostConnection connection, PgException fault) {
-        log.warn("host_garbled", "host", connection.hostId, "what", fault.getMessage());
+    /** Logs that a host sent a malformed message or answer. */
+    void logMalformedData(HostConnection connection, PgException cause) {
+        log.warn("host_garbled", "host", connection.hostId, "what", cause.getMessage());
     }
 
+    /** Closes the idle connections to a host. */
     void closeIdle(String hostId) {
-        close(new ArrayList<>(idle.getOrDefault(hostId, new ArrayDeque<>())));
+        closeIdle(new ArrayList<>(idleConnections.getOrDefault(hostId, new ArrayDeque<>())));
     }
 
-    private void closeStale() {
-        Moment before = Clock.read().minus(idleTime);
-        List<HostConnection> stale = new ArrayList<>();
-        for (Deque<HostConnection> free : idle.values()) {
-            free.stream()
-                    .filter(connection -> connection.idleSince.before(before))
-                    .forEach(stale::add);
+    private void closeExpired() {
+        Moment earliestIdleSince = Clock.read().minus(idleTimeout);
+        List<HostConnection> expired = new ArrayList<>();
+        for (Deque<HostConnection> idle : idleConnections.values()) {
+            idle.stream()
+                    .filter(connection -> connection.idleSince.before(earliestIdleSince))
+                    .forEach(expired::add);
         }
-        close(stale);
+        closeIdle(expired);
     }
 
-    private void close(List<HostConnection> connections) {
+    private void closeIdle(List<HostConnection> connections) {
         for (HostConnection connection : connections) {
             connection.close();
             counters.add(Ending.IDLE_CLOSED);
         }
     }
 
+    /** Closes all connections without notifying their requests, and ends the idle sweep. */
     void stop() {
         stopped = true;
-        new ArrayList<>(open).forEach(HostConnection::close);
+        new ArrayList<>(openConnections).forEach(HostConnection::close);
     }
 }
--- a/router/src/main/java/ironwind/net/Log.java
+++ b/router/src/main/java/ironwind/net/Log.java
@@ -14,46 +14,55 @@
 import java.util.logging.Logger;
 
 /**
- * One line an event: time, level, event, then key=value pairs, or what else a {@link Sink} makes of
- * it. A warning that comes often is told once a second, with how many of it were left out since.
+ * Writes one line per event: time, level, event, then key=value pairs, or another form that a
+ * {@link Sink} gives it. Warnings are rate-limited: one per second and event, with the number of
+ * those that were left out since the last.
  */
 public final class Log {
-    private static final Duration WARN_EVERY = Duration.ofSeconds(1);
+    private static final Duration WARN_INTERVAL = Duration.ofSeconds(1);
 
     private final Sink sink;
     private final InstantSource clock;
-    private final Map<String, Told> warnings = new HashMap<>();
+    private final Map<String, WarningState> warnings = new HashMap<>();
 
-    /** When a warning was last told, and how often it has come since. */
-    private static final class Told {
-        private Instant at = Instant.MIN;
+    /** When a warning was last logged, and how many were left out since. */
+    private static final class WarningState {
+        private Instant loggedAt = Instant.MIN;
         private int leftOut;
     }
 
-    /** How much a line matters. */
+    /** Severity of a line. */
     public enum Level {
+        /** Normal operation. */
         INFO,
+        /** A problem that the router handles; rate-limited. */
         WARN,
+        /** A defect, or an RPC that is left unanswered. */
         ERROR
     }
 
-    /** Where lines go, in which form. */
+    /** Formats and writes lines. */
     public interface Sink {
-        /** Pairs are a name and a value each. */
+        /**
+         * Writes a line.
+         *
+         * @param pairs names and values, alternating
+         */
         void write(Level level, String event, Object... pairs);
     }
 
+    /** Creates a log that writes lines of key=value pairs to a stream. */
     public Log(PrintStream out) {
         this(out, InstantSource.system());
     }
 
-    /** With lines that a library writes. */
+    /** Creates a log whose lines a sink formats and writes. */
     public Log(Sink sink) {
         this(sink, InstantSource.system());
     }
 
     Log(PrintStream out, InstantSource clock) {
-        this((level, event, pairs) -> out.println(plain(clock, level, event, pairs)), clock);
+        this((level, event, pairs) -> out.println(format(clock, level, event, pairs)), clock);
     }
 
     private Log(Sink sink, InstantSource clock) {
@@ -62,8 +71,11 @@
     }
 
     /**
-     * Takes over what libraries log, by way of java.util.logging: its own way of writing a line
-     * opens files, and so fails just where descriptors have run out, and takes the thread along.
+     * Also logs, as warnings, what libraries log with java.util.logging, and removes its own
+     * handlers: they open files to write a line, which fails if no descriptors are left and then
+     * ends the thread.
+     *
+     * @return this log
      */
     public Log withLibraryLogs() {
         LogManager.getLogManager().reset();
@@ -93,41 +105,54 @@
         return this;
     }
 
-    /** Pairs are a name and a value each. */
+    /**
+     * Logs an event of normal operation.
+     *
+     * @param pairs names and values, alternating
+     */
     public void info(String event, Object... pairs) {
         sink.write(Level.INFO, event, pairs);
     }
 
+    /**
+     * Logs a warning, or counts it as left out if this event was logged within the last second.
+     *
+     * @param pairs names and values, alternating
+     */
     public synchronized void warn(String event, Object... pairs) {
-        Told told = warnings.computeIfAbsent(event, key -> new Told());
+        WarningState state = warnings.computeIfAbsent(event, key -> new WarningState());
         Instant now = clock.instant();
-        if (now.isBefore(told.at.plus(WARN_EVERY))) {
-            told.leftOut++;
+        if (now.isBefore(state.loggedAt.plus(WARN_INTERVAL))) {
+            state.leftOut++;
             return;
         }
         Object[] all = pairs;
-        if (told.leftOut > 0) {
+        if (state.leftOut > 0) {
             all = Arrays.copyOf(pairs, pairs.length + 2);
             all[pairs.length] = "left_out";
-            all[pairs.length + 1] = told.leftOut;
+            all[pairs.length + 1] = state.leftOut;
         }
         sink.write(Level.WARN, event, all);
-        told.at = now;
-        told.leftOut = 0;
+        state.loggedAt = now;
+        state.leftOut = 0;
     }
 
-    /** An exception that nothing expected, with its place. */
-    public void error(String event, Throwable fault) {
-        StackTraceElement[] trace = fault.getStackTrace();
-        sink.write(Level.ERROR, event, "fault", fault, "at", trace.length == 0 ? "" : trace[0]);
+    /** Logs an unexpected exception with the location at which it was thrown. */
+    public void error(String event, Throwable cause) {
+        StackTraceElement[] trace = cause.getStackTrace();
+        sink.write(Level.ERROR, event, "fault", cause, "at", trace.length == 0 ? "" : trace[0]);
     }
 
-    /** What must not be, and is no exception: told each time. */
+    /**
+     * Logs an error that is not an exception. Errors are never left out.
+     *
+     * @param pairs names and values, alternating
+     */
     public void error(String event, Object... pairs) {
         sink.write(Level.ERROR, event, pairs);
     }
 
-    private static String plain(InstantSource clock, Level level, String event, Object... pairs) {
+    private static String format(InstantSource clock, Level level, String event, Object... pairs) {
         StringBuilder line =
                 new StringBuilder(96)
                         .append(clock.instant().truncatedTo(ChronoUnit.MILLIS))
@@ -139,20 +164,20 @@
             line.append(' ')
                     .append(pairs[i])
                     .append('=')
-                    .append(quoted(String.valueOf(pairs[i + 1])));
+                    .append(quote(String.valueOf(pairs[i + 1])));
         }
         return line.toString();
     }
 
-    private static String quoted(String value) {
-        boolean plain =
+    private static String quote(String value) {
+        boolean unquoted =
                 !value.isEmpty()
                         && value.chars()
                                 .allMatch(
                                         c ->
                                                 c > ' ' && c != '"' && c != '=' && c != '\\'
                                                         && c < 0x7f);
-        return plain
+        return unquoted
                 ? value
                 : '"'
                         + value.replace("\\", "\\\\").replace("\"", "\\\"").replace("\n", "\\n")
--- a/router/src/main/java/ironwind/net/LogicTask.java
+++ b/router/src/main/java/ironwind/net/LogicTask.java
@@ -28,8 +28,9 @@
 import java.util.function.Function;
 
 /**
- * The sole owner of the decision module. What happens on sockets is put into a queue; a batch takes
- * all that waits there at one time, settles once, and carries out what the module asks for.
+ * Runs the decision logic, which nothing else calls. Events from sockets are queued; a batch
+ * delivers all queued events to the logic with the same time and ends with {@link
+ * Inbound#onBatchEnd}. The logic requests its actions through {@link Outbound}.
  */
 final class LogicTask implements Outbound {
     private static final PgError PUSHED_BACK =
@@ -40,52 +41,64 @@
                     "aborted: it may or may not have run",
                     null);
 
-    private static final Moment FAR = new Moment(Long.MAX_VALUE / 4);
+    /** Later than every deadline; a quarter of the range, so that differences don't overflow. */
+    private static final Moment FAR_FUTURE = new Moment(Long.MAX_VALUE / 4);
 
     private final Timers timers;
     private final Deployment deployment;
     private final Inbound logic;
-    private final HostConnectionPool hosts;
-    private final Span probeTime;
+    private final HostConnectionPool pool;
+    private final Span probeTimeout;
     private final Span answerSlack;
     private final Counters counters;
     private final Log log;
-    private final Queue<Event> queue = new ConcurrentLinkedQueue<>();
-    private final AtomicBoolean batchDue = new AtomicBoolean();
+    private final Queue<Event> events = new ConcurrentLinkedQueue<>();
+    private final AtomicBoolean batchScheduled = new AtomicBoolean();
     private final Map<Rpc, Exchange> exchanges = new HashMap<>();
-    private final Map<CallOut, CallOutRequest> sendings = new HashMap<>();
+    private final Map<CallOut, CallOutRequest> callOutRequests = new HashMap<>();
 
-    /** Of RPCs without their final answer. */
-    private final Map<String, Exchange> openIds = new HashMap<>();
+    /** RPCs without a final answer, by id. */
+    private final Map<String, Exchange> openById = new HashMap<>();
 
-    private Moment lastAnswer = FAR;
+    /** Upper limit of all deadlines. */
+    private Moment latestDeadline = FAR_FUTURE;
+
+    /** Time of the current or last batch. */
     private Moment now = Moment.NEVER;
 
     /**
-     * No RPC is held for longer than up to this moment, those included that were taken before and
-     * whose clients would wait longer: the process is killed soon after, and what is unanswered
-     * then is lost.
+     * Caps the deadlines of all open and future RPCs at the given time from now, whatever their
+     * clients' deadlines are: the process is killed soon after, and RPCs that are unanswered then
+     * are lost. Call-outs that are still in flight at that time are given up.
      */
     void capDeadlines(Span fromNow) {
-        lastAnswer = Clock.read().plus(fromNow);
-        for (Exchange exchange : List.copyOf(openIds.values())) {
-            if (exchange.rpc != null && exchange.rpc.deadline.after(lastAnswer)) {
-                exchange.rpc.deadline = lastAnswer;
-                watch(exchange);
+        latestDeadline = Clock.read().plus(fromNow);
+        for (Exchange exchange : List.copyOf(openById.values())) {
+            if (exchange.rpc != null && exchange.rpc.deadline.after(latestDeadline)) {
+                exchange.rpc.deadline = latestDeadline;
+                scheduleAnswerCheck(exchange);
             }
         }
         timers.schedule(
                 fromNow,
                 () ->
-                        List.copyOf(sendings.values())
-                                .forEach(sending -> sending.giveUp(Ending.TIMED_OUT)));
+                        List.copyOf(callOutRequests.values())
+                                .forEach(request -> request.giveUp(Ending.TIMED_OUT)));
     }
 
     /**
-     * What an RPC's comment says, read.
+     * An RPC as its client requests it in the comment of a statement.
      *
-     * @param waited how long it had lain in its socket before it was read
-     * @param roomless there is no memory or time left to hold it
+     * @param id the client's id for the RPC
+     * @param method the method that it calls
+     * @param customer the customer that it counts for; null for none
+     * @param group number of the group that must answer it
+     * @param session the client's session; null for none
+     * @param timeout time until the client's deadline, from when the client wrote the request
+     * @param afterMs log position that a session read must see, in Unix milliseconds; zero for none
+     * @param retry whether the client marked it as a retry
+     * @param queueTime how long the request had been in its socket before it was read
+     * @param rejectOnArrival whether there is no memory or time left to hold it
      */
     record RpcRequest(
             String id,
@@ -93,74 +106,87 @@
             Customer customer,
             int group,
             String session,
-            Span waits,
-            long after,
-            boolean repeat,
-            Span waited,
-            boolean roomless) {}
+            Span timeout,
+            long afterMs,
+            boolean retry,
+            Span queueTime,
+            boolean rejectOnArrival) {}
 
-    /** What happened, and the exchange it concerns, if one. */
-    private record Event(Exchange concerned, Consumer<Moment> act) {}
+    /**
+     * A queued event.
+     *
+     * @param exchange the exchange that is aborted if the action fails; null for none
+     * @param action delivers the event, at the time of its batch
+     */
+    private record Event(Exchange exchange, Consumer<Moment> action) {}
 
+    /**
+     * Creates the decision logic.
+     *
+     * @param logicFactory creates it, given the receiver of its actions
+     */
     LogicTask(
             Timers timers,
-            RouterConfig facts,
-            Function<Outbound, Inbound> module,
-            HostConnectionPool hosts,
+            RouterConfig config,
+            Function<Outbound, Inbound> logicFactory,
+            HostConnectionPool pool,
             Counters counters,
             Log log) {
         this.timers = timers;
-        this.deployment = facts.deployment();
-        this.logic = module.apply(this);
-        this.hosts = hosts;
-        this.probeTime = facts.connectTimeout();
-        this.answerSlack = facts.answerSlack();
+        this.deployment = config.deployment();
+        this.logic = logicFactory.apply(this);
+        this.pool = pool;
+        this.probeTimeout = config.connectTimeout();
+        this.answerSlack = config.answerSlack();
         this.counters = counters;
         this.log = log;
     }
 
-    // ---- the queue
+    // ---- event queue
 
-    private void put(Exchange concerned, Consumer<Moment> act) {
-        queue.add(new Event(concerned, act));
-        if (batchDue.compareAndSet(false, true)) {
-            timers.execute(this::batch);
+    /** Queues an event, and schedules a batch if none is scheduled. */
+    private void enqueue(Exchange exchange, Consumer<Moment> action) {
+        events.add(new Event(exchange, action));
+        if (batchScheduled.compareAndSet(false, true)) {
+            timers.execute(this::runBatch);
         }
     }
 
-    private void batch() {
-        batchDue.set(false);
+    private void runBatch() {
+        batchScheduled.set(false);
         now = now.later(Clock.read());
-        for (Event event = queue.poll(); event != null; event = queue.poll()) {
-            guard(event.concerned, event.act);
+        for (Event event = events.poll(); event != null; event = events.poll()) {
+            runGuarded(event.exchange, event.action);
         }
-        guard(null, logic::onBatchEnd);
+        runGuarded(null, logic::onBatchEnd);
     }
 
-    /** An exception that nothing expected is told once, and what it concerns is still answered. */
-    private void guard(Exchange concerned, Consumer<Moment> act) {
+    /**
+     * Runs an action. An unexpected exception is logged, and the RPC that it concerns is aborted.
+     */
+    private void runGuarded(Exchange exchange, Consumer<Moment> action) {
         try {
-            act.accept(now);
-        } catch (RuntimeException fault) {
+            action.accept(now);
+        } catch (RuntimeException e) {
             counters.add(Count.FAULTS);
-            log.error("fault", fault);
-            if (concerned != null) {
-                answer(concerned, Count.ABORTED, Encoder.errorAndReady(ABORTED));
+            log.error("fault", e);
+            if (exchange != null) {
+                answer(exchange, Count.ABORTED, Encoder.errorAndReady(ABORTED));
             }
         }
     }
 
-    /** RPCs that have no final answer yet. */
+    /** Returns the number of RPCs that have no final answer yet. */
     int openRpcCount() {
-        return openIds.size();
+        return openById.size();
     }
 
     /**
-     * Says which RPCs end without an answer, by what hosts they may have reached: for the last
-     * moment of a process.
+     * Logs the RPCs that have no answer when the process ends, with the hosts that they may have
+     * reached.
      */
     void logUnanswered() {
-        for (Exchange exchange : openIds.values()) {
+        for (Exchange exchange : openById.values()) {
             List<String> hosts =
                     exchange.rpc == null
                             ? List.of()
@@ -178,39 +204,49 @@
         }
     }
 
-    /** Memory may be free for answers of hosts that wait for it. */
+    /** Memory has been released: answers of hosts that wait for it are read if there is enough. */
     void onMemoryReleased() {
-        hosts.memoryFreed();
+        pool.onMemoryReleased();
     }
 
-    // ---- what comes in
+    // ---- events
 
+    /**
+     * Discovery has sent an update.
+     *
+     * @param complete whether the entries are the whole list; otherwise only those that changed
+     * @param before runs in the same batch, before the logic receives the update
+     */
     void onDiscoveryUpdate(boolean complete, List<HostEntry> entries, Runnable before) {
-        put(
+        enqueue(
                 null,
                 time -> {
                     before.run();
                     logic.onDiscoveryUpdate(time, complete, entries);
-                    hosts.letGo(id -> logic.host(id) == null);
+                    pool.removeHosts(id -> logic.host(id) == null);
                 });
     }
 
-    /** What cannot be taken: an id that is open already, or a group that no list has named. */
+    /**
+     * Checks an RPC before it is accepted.
+     *
+     * @throws PgException if its id is that of an open RPC, or its group is in no discovery update
+     */
     void validate(RpcRequest request) {
-        if (openIds.containsKey(request.id)) {
+        if (openById.containsKey(request.id)) {
             throw new PgException(
-                    PgException.SYNTAX_ERROR, "the comment's id is that of another open request");
+                    PgException.SYNTAX_ERROR, "the comment's id belongs to another open request");
         }
         if (logic.group(request.group) == null) {
-            throw new PgException(
-                    PgException.SYNTAX_ERROR, "the comment's cluster names nothing known");
+            throw new PgException(PgException.SYNTAX_ERROR, "the comment's cluster is unknown");
         }
     }
 
+    /** A valid RPC has arrived; it is answered through its exchange. */
     void onRpcArrived(Exchange exchange, RpcRequest request) {
         counters.add(Count.RPCS);
-        openIds.put(request.id, exchange);
-        put(
+        openById.put(request.id, exchange);
+        enqueue(
                 exchange,
                 time -> {
                     Rpc rpc =
@@ -221,93 +257,106 @@
                                     logic.group(request.group),
                                     request.session,
                                     time,
-                                    time.plus(request.waits)
-                                            .minus(request.waited)
-                                            .earlier(lastAnswer),
-                                    request.after <= 0
+                                    time.plus(request.timeout)
+                                            .minus(request.queueTime)
+                                            .earlier(latestDeadline),
+                                    request.afterMs <= 0
                                             ? Moment.NEVER
-                                            : Moment.ofMillis(request.after),
-                                    request.repeat);
-                    rpc.rejectOnArrival = request.roomless;
+                                            : Moment.ofMillis(request.afterMs),
+                                    request.retry);
+                    rpc.rejectOnArrival = request.rejectOnArrival;
                     exchange.rpc = rpc;
                     exchanges.put(rpc, exchange);
-                    watch(exchange);
+                    scheduleAnswerCheck(exchange);
                     logic.onRpcArrived(time, rpc);
                 });
     }
 
-    private void watch(Exchange exchange) {
-        Span longest = exchange.rpc.deadline.plus(answerSlack).since(Clock.read());
+    /** Schedules {@link #checkAnswered} for the end of the slack after the RPC's deadline. */
+    private void scheduleAnswerCheck(Exchange exchange) {
+        Span delay = exchange.rpc.deadline.plus(answerSlack).since(Clock.read());
         if (exchange.guard != null) {
             exchange.guard.cancel();
         }
         exchange.guard =
-                timers.schedule(longest, () -> put(exchange, due -> overdue(due, exchange)));
+                timers.schedule(
+                        delay, () -> enqueue(exchange, time -> checkAnswered(time, exchange)));
     }
 
     /**
-     * Guards against a defect that leaves an RPC without its answer: the module always answers
-     * before this.
+     * Guards against a defect that leaves an RPC without an answer: the logic always answers before
+     * this.
+     *
+     * @throws IllegalStateException if the RPC has no answer; the caller then aborts it
      */
-    private void overdue(Moment time, Exchange exchange) {
+    private void checkAnswered(Moment time, Exchange exchange) {
         logic.onBatchEnd(time);
         if (exchange.rpc.state != Rpc.State.DONE && !exchange.isAnswered()) {
             throw new IllegalStateException("no answer by the deadline of " + exchange.rpc.id);
         }
     }
 
+    /** The client of an exchange has disconnected; its RPC, if it has one, needs no answer. */
     void onClientLeft(Exchange exchange) {
         if (exchange.statement == null) {
             return;
         }
-        put(
+        enqueue(
                 null,
                 time -> {
-                    freeId(exchange);
+                    releaseId(exchange);
                     if (exchange.rpc != null && exchange.rpc.state != Rpc.State.DONE) {
                         counters.add(Count.ABANDONED);
                         logic.onClientLeft(time, exchange.rpc);
-                        forget(exchange.rpc);
+                        forgetIfDone(exchange.rpc);
                     }
                 });
     }
 
-    /** The connection of a sending has come up: it is written if the module still stands by it. */
-    void up(CallOutRequest sending) {
-        put(
-                sending.exchange,
+    /** The connection of a call-out is established: writes it if the logic still wants it sent. */
+    void onConnected(CallOutRequest request) {
+        enqueue(
+                request.exchange,
                 time -> {
-                    if (!sending.isOver()) {
-                        if (logic.maySendNow(time, sending.callOut)) {
-                            sending.write(time);
+                    if (!request.hasEnded()) {
+                        if (logic.maySendNow(time, request.callOut)) {
+                            request.write(time);
                         } else {
-                            sending.leave();
+                            request.skip();
                         }
                     }
                 });
     }
 
-    void ended(CallOutRequest sending, Ending ending, HostAnswer word) {
+    /**
+     * A call-out has ended.
+     *
+     * @param answer what the host sent; null if no connection could be acquired or the request was
+     *     given up
+     */
+    void onCallOutEnded(CallOutRequest request, Ending ending, HostAnswer answer) {
         counters.add(ending);
-        put(sending.exchange, time -> close(time, sending, ending, word));
+        enqueue(request.exchange, time -> finishCallOut(time, request, ending, answer));
     }
 
-    void probed(Host host, boolean answered, Role role, Moment position) {
-        put(null, time -> logic.onProbeEnded(time, host, answered, role, position));
+    /** A probe has ended. */
+    void onProbeEnded(Host host, boolean answered, Role role, Moment position) {
+        enqueue(null, time -> logic.onProbeEnded(time, host, answered, role, position));
     }
 
-    private void close(Moment time, CallOutRequest sending, Ending ending, HostAnswer word) {
-        CallOut callOut = sending.callOut;
+    private void finishCallOut(
+            Moment time, CallOutRequest request, Ending ending, HostAnswer answer) {
+        CallOut callOut = request.callOut;
         Rpc rpc = callOut.rpc;
         Outcome outcome = ending.outcome();
-        sendings.remove(callOut);
+        callOutRequests.remove(callOut);
         boolean open = rpc.state != Rpc.State.DONE;
         if (outcome == Outcome.OK && open) {
-            answer(sending.exchange, Count.OK, Encoder.rowInParts(word.row()));
+            answer(request.exchange, Count.OK, Encoder.rowInParts(answer.row()));
         }
-        // What can't be read tells nothing: neither a role nor a position.
-        Role role = outcome.answered ? word.role() : Role.UNKNOWN;
-        Moment position = outcome.answered ? word.position(time) : Moment.NEVER;
+        // A malformed or missing answer gives neither a role nor a position.
+        Role role = outcome.answered ? answer.role() : Role.UNKNOWN;
+        Moment position = outcome.answered ? answer.position(time) : Moment.NEVER;
         logic.onCallOutEnded(
                 time,
                 callOut,
@@ -316,43 +365,44 @@
                 role,
                 position,
                 time.since(callOut.sentAt));
-        forget(rpc);
+        forgetIfDone(rpc);
     }
 
-    // ---- what the module asks for
+    // ---- actions of the logic
 
     @Override
-    public void send(CallOut callOut, Span limit) {
+    public void send(CallOut callOut, Span timeout) {
         counters.add(Count.CALL_OUTS);
-        Moment until =
-                limit.us() > 0
-                        ? callOut.rpc.deadline.earlier(now.plus(limit))
+        Moment giveUpAt =
+                timeout.us() > 0
+                        ? callOut.rpc.deadline.earlier(now.plus(timeout))
                         : callOut.rpc.deadline;
-        CallOutRequest sending = new CallOutRequest(this, callOut, exchanges.get(callOut.rpc));
-        sendings.put(callOut, sending);
-        sending.begin(
-                hosts,
+        CallOutRequest request = new CallOutRequest(this, callOut, exchanges.get(callOut.rpc));
+        callOutRequests.put(callOut, request);
+        request.start(
+                pool,
                 now,
-                timers.schedule(until.since(Clock.read()), () -> sending.giveUp(Ending.TIMED_OUT)));
+                timers.schedule(
+                        giveUpAt.since(Clock.read()), () -> request.giveUp(Ending.TIMED_OUT)));
     }
 
     @Override
     public void cancel(CallOut callOut) {
-        CallOutRequest sending = sendings.get(callOut);
-        if (sending != null) {
-            sending.giveUp(Ending.CANCELLED);
+        CallOutRequest request = callOutRequests.get(callOut);
+        if (request != null) {
+            request.giveUp(Ending.CANCELLED);
         }
     }
 
     @Override
-    public void pushBack(Rpc rpc, Span comeBackAfter) {
+    public void pushBack(Rpc rpc, Span retryAfter) {
         answer(
                 rpc,
                 Count.PUSHED_BACK,
                 new PgError(
                         PUSHED_BACK.sqlState(),
                         PUSHED_BACK.message(),
-                        Timers.formatRetryAfter(comeBackAfter)));
+                        Timers.formatRetryAfter(retryAfter)));
     }
 
     @Override
@@ -360,24 +410,24 @@
         answer(rpc, Count.ABORTED, ABORTED);
     }
 
-    private void answer(Rpc rpc, Count count, PgError failure) {
-        answer(exchanges.get(rpc), count, Encoder.errorAndReady(failure));
-        forget(rpc);
+    private void answer(Rpc rpc, Count count, PgError error) {
+        answer(exchanges.get(rpc), count, Encoder.errorAndReady(error));
+        forgetIfDone(rpc);
     }
 
-    /** The one place from which an RPC's final answer goes out. */
+    /** Sends an RPC's final answer, if it has none yet. Every final answer goes through here. */
     private void answer(Exchange exchange, Count count, byte[]... parts) {
-        freeId(exchange);
+        releaseId(exchange);
         if (exchange.answer(parts)) {
             counters.add(count);
         }
     }
 
-    private void freeId(Exchange exchange) {
-        openIds.remove(exchange.statement.attributes().get("id"), exchange);
+    private void releaseId(Exchange exchange) {
+        openById.remove(exchange.statement.attributes().get("id"), exchange);
     }
 
-    private void forget(Rpc rpc) {
+    private void forgetIfDone(Rpc rpc) {
         if (rpc.state == Rpc.State.DONE && rpc.inFlight == 0) {
             exchanges.remove(rpc);
         }
@@ -387,17 +437,17 @@
     public void probe(Host host) {
         counters.add(Count.PROBES);
         Probe probe = new Probe(this, host);
-        String question = deployment.probesReportPosition() ? Probe.FOR_REPORT : Probe.FOR_LIFE;
-        probe.begin(hosts, question, timers.schedule(probeTime, probe::giveUp));
+        String sql = deployment.probesReportPosition() ? Probe.LOAD_REPORT : Probe.PING;
+        probe.start(pool, sql, timers.schedule(probeTimeout, probe::giveUp));
     }
 
     @Override
     public void closeIdleConnections(Host host) {
-        hosts.closeIdle(host.id);
+        pool.closeIdle(host.id);
     }
 
     @Override
     public void wakeAt(Moment when) {
-        timers.schedule(when.since(now), this::batch);
+        timers.schedule(when.since(now), this::runBatch);
     }
 }
--- a/router/src/main/java/ironwind/net/Probe.java
+++ b/router/src/main/java/ironwind/net/Probe.java
@@ -5,53 +5,57 @@
 import ironwind.model.Role;
 import ironwind.pg.Encoder;
 
-/** One probe on its way. */
+/** A probe of a host, which reports its end to the {@link LogicTask}. */
 final class Probe implements HostConnection.Request {
-    /** PROTOCOL: what asks for a sign of life, and what for a load report. */
-    static final String FOR_LIFE = "SELECT 1";
+    /** The statement that only checks whether the host answers. */
+    static final String PING = "SELECT 1";
 
-    static final String FOR_REPORT = "SHOW load";
+    /** The statement that asks the host for a load report. */
+    static final String LOAD_REPORT = "SHOW load";
 
     private final LogicTask task;
     private final Host host;
-    private String question;
+    private String statement;
     private HostConnection connection;
-    private Timers.Timer limit;
+    private Timers.Timer timeout;
 
+    /** Creates a probe that has not been started. */
     Probe(LogicTask task, Host host) {
         this.task = task;
         this.host = host;
     }
 
-    void begin(HostConnectionPool hosts, String asked, Timers.Timer timeOut) {
-        question = asked;
-        limit = timeOut;
-        connection = hosts.open(host.id, this);
+    /** Sends the statement at once if a connection is idle, otherwise once one is established. */
+    void start(HostConnectionPool pool, String sql, Timers.Timer timeoutTimer) {
+        statement = sql;
+        timeout = timeoutTimer;
+        connection = pool.acquire(host.id, this);
         if (connection == null) {
-            ended(Ending.NO_SOCKET, null);
-        } else if (connection.isUp()) {
-            up();
+            onEnded(Ending.NO_SOCKET, null);
+        } else if (connection.isReady()) {
+            onConnected();
         }
     }
 
     @Override
-    public void up() {
-        connection.write(Encoder.query(question));
+    public void onConnected() {
+        connection.write(Encoder.query(statement));
     }
 
+    /** Gives up the probe because of its timeout, and closes its connection. */
     void giveUp() {
         connection.giveUp();
-        ended(Ending.TIMED_OUT, null);
+        onEnded(Ending.TIMED_OUT, null);
     }
 
     @Override
-    public void ended(Ending ending, HostAnswer word) {
-        limit.cancel();
+    public void onEnded(Ending ending, HostAnswer answer) {
+        timeout.cancel();
         boolean answered = ending == Ending.SERVED;
-        task.probed(
+        task.onProbeEnded(
                 host,
                 answered,
-                answered ? word.reportedRole() : Role.UNKNOWN,
-                answered ? word.reportedPosition(Clock.read()) : Moment.NEVER);
+                answered ? answer.loadReportRole() : Role.UNKNOWN,
+                answered ? answer.loadReportPosition(Clock.read()) : Moment.NEVER);
     }
 }
--- a/router/src/main/java/ironwind/net/Timers.java
+++ b/router/src/main/java/ironwind/net/Timers.java
@@ -7,56 +7,61 @@
 import java.util.function.Consumer;
 
 /**
- * Timers and turns of the event loop, with nothing above it; what an action throws is told, and the
- * loop goes on.
+ * Schedules actions on the event loop directly, without Vert.x. An exception that an action throws
+ * is passed to a handler and does not stop the loop.
  */
 final class Timers {
     private final IoEventLoop loop;
-    private final Consumer<Throwable> uncaught;
+    private final Consumer<Throwable> exceptionHandler;
 
-    Timers(IoEventLoop loop, Consumer<Throwable> uncaught) {
+    Timers(IoEventLoop loop, Consumer<Throwable> exceptionHandler) {
         this.loop = loop;
-        this.uncaught = uncaught;
+        this.exceptionHandler = exceptionHandler;
     }
 
-    /** A timer that runs; cancelling it later than that does nothing. */
+    /** A scheduled action. */
     interface Timer {
+        /** Cancels the action; does nothing if it has run. */
         void cancel();
     }
 
-    Timer schedule(Span span, Runnable action) {
+    /** Runs an action once after a delay, at once if the delay is negative. */
+    Timer schedule(Span delay, Runnable action) {
         Future<?> timer =
-                loop.schedule(guarded(action), Math.max(0, span.us()), TimeUnit.MICROSECONDS);
+                loop.schedule(guarded(action), Math.max(0, delay.us()), TimeUnit.MICROSECONDS);
         return () -> timer.cancel(false);
     }
 
-    /** Until the program ends. */
-    void scheduleAtFixedRate(Span span, Runnable action) {
-        loop.scheduleAtFixedRate(guarded(action), span.us(), span.us(), TimeUnit.MICROSECONDS);
+    /** Runs an action periodically until the event loop ends. */
+    void scheduleAtFixedRate(Span period, Runnable action) {
+        loop.scheduleAtFixedRate(guarded(action), period.us(), period.us(), TimeUnit.MICROSECONDS);
     }
 
-    /** Once the loop has done what it is at. */
+    /** Runs an action on the loop after the current one. */
     void execute(Runnable action) {
         loop.execute(guarded(action));
     }
 
+    /** Wraps an action so that its exceptions go to the handler. */
     private Runnable guarded(Runnable action) {
         return () -> {
             try {
                 action.run();
-            } catch (RuntimeException fault) {
-                uncaught.accept(fault);
+            } catch (RuntimeException e) {
+                exceptionHandler.accept(e);
             }
         };
     }
 
-    /** A time to come back after, as an error's detail tells it; null for none. */
-    static String formatRetryAfter(Span comeBackAfter) {
-        return comeBackAfter.us() > 0 ? Long.toString(millis(comeBackAfter)) : null;
+    /**
+     * Returns a retry delay in milliseconds, as an error's detail contains it; null if it is zero.
+     */
+    static String formatRetryAfter(Span retryAfter) {
+        return retryAfter.us() > 0 ? Long.toString(toMillis(retryAfter)) : null;
     }
 
-    /** Whole milliseconds, rounded up, one at least. */
-    static int millis(Span span) {
+    /** Returns a span in whole milliseconds, rounded up, at least 1. */
+    static int toMillis(Span span) {
         return (int) Math.max(1, (span.us() + 999) / 1_000);
     }
 }
--- a/router/src/test/java/ironwind/net/HostAnswerTest.java
+++ b/router/src/test/java/ironwind/net/HostAnswerTest.java
@@ -13,8 +13,8 @@
     private static final Moment NOW = Moment.ofMillis(1767225600124L);
 
     /**
-     * Guards against a position that is rounded up, by reading or by arithmetic, or made of
-     * nonsense.
+     * Guards against a position that is too high, because parsing or arithmetic rounds it up, and
+     * against one that is made of a malformed or absurd value.
      */
     @ParameterizedTest(name = "applied_ms {0}, role {1}: {2}, {3}")
     @CsvSource({
@@ -30,14 +30,14 @@
         "1767225600125, primary, 1767225600125000, PRIMARY",
         "1767225600126, primary, , PRIMARY"
     })
-    void positionAndRoleComeFromTheParameters(
-            String applied, String role, Long position, Role told) {
-        HostAnswer word = new HostAnswer();
-        word.hear(new HostMessage.ParameterStatus("applied_ms", applied == null ? "" : applied));
-        word.hear(new HostMessage.ParameterStatus("role", role == null ? "" : role));
-        assertThat(word.position(NOW))
-                .isEqualTo(position == null ? Moment.NEVER : new Moment(position));
-        assertThat(word.role()).isEqualTo(told);
+    void readsPositionAndRoleFromParameters(
+            String applied, String role, Long expectedPosition, Role expectedRole) {
+        HostAnswer answer = new HostAnswer();
+        answer.add(new HostMessage.ParameterStatus("applied_ms", applied == null ? "" : applied));
+        answer.add(new HostMessage.ParameterStatus("role", role == null ? "" : role));
+        assertThat(answer.position(NOW))
+                .isEqualTo(expectedPosition == null ? Moment.NEVER : new Moment(expectedPosition));
+        assertThat(answer.role()).isEqualTo(expectedRole);
     }
 
     @ParameterizedTest(name = "{0}: {1}, {2}")
@@ -49,13 +49,14 @@
                 "util=0.61 | | UNKNOWN",
                 "x0,x1=,x00=5 | | UNKNOWN"
             })
-    void positionAndRoleOfAReportComeFromItsRow(String report, Long position, Role told) {
+    void readsPositionAndRoleFromTheRowOfALoadReport(
+            String report, Long expectedPosition, Role expectedRole) {
         Row row = Row.ofText("load", report);
-        HostAnswer word = new HostAnswer();
-        word.hear(new HostMessage.RowDescription(row.description()));
-        word.hear(new HostMessage.DataRow(row.data()));
-        assertThat(word.reportedPosition(NOW))
-                .isEqualTo(position == null ? Moment.NEVER : new Moment(position));
-        assertThat(word.reportedRole()).isEqualTo(told);
+        HostAnswer answer = new HostAnswer();
+        answer.add(new HostMessage.RowDescription(row.description()));
+        answer.add(new HostMessage.DataRow(row.data()));
+        assertThat(answer.loadReportPosition(NOW))
+                .isEqualTo(expectedPosition == null ? Moment.NEVER : new Moment(expectedPosition));
+        assertThat(answer.loadReportRole()).isEqualTo(expectedRole);
     }
 }
--- a/router/src/test/java/ironwind/net/LogTest.java
+++ b/router/src/test/java/ironwind/net/LogTest.java
@@ -27,15 +27,18 @@
                 "say \"no\", \"say \\\"no\\\"\"",
                 "``, \"\""
             })
-    void valuesAreQuotedWhereTheyMustBe(String value, String written) {
+    void quotesValuesWhereNecessary(String value, String expected) {
         log.info("event", "key", value, "count", 3);
         assertThat(lines.toString().strip())
-                .isEqualTo("1970-01-01T00:00:00Z INFO event key=" + written + " count=3");
+                .isEqualTo("1970-01-01T00:00:00Z INFO event key=" + expected + " count=3");
     }
 
-    /** Guards against a library's warning that takes a thread along where no file can be opened. */
+    /**
+     * Guards against a library's warning that ends a thread: java.util.logging opens files to write
+     * it, which fails if no descriptors are left.
+     */
     @Test
-    void whatLibrariesLogIsAWarningLikeOthers() {
+    void logsWarningsOfLibraries() {
         log.withLibraryLogs();
         Logger.getLogger("io.netty.any")
                 .log(Level.WARNING, "Failed to accept", new IOException("Too many open files"));
@@ -45,9 +48,9 @@
                         "Too many open files");
     }
 
-    /** Guards against a flood of one warning that costs more than what it tells of. */
+    /** Guards against a flood of one warning that costs more than the problem it reports. */
     @Test
-    void aWarningIsToldOnceASecondWithHowManyWereLeftOut() {
+    void limitsEachWarningToOnePerSecondAndCountsTheOthers() {
         for (int i = 0; i < 25; i++) {
             log.warn("short", "n", i);
             log.warn(i == 3 ? "other" : "short");
