--- a/cli/src/main/java/ironwind/cli/LogbackSink.java
+++ b/cli/src/main/java/ironwind/cli/LogbackSink.java
@@ -49,7 +49,7 @@
     }
 
     @Override
-    public void line(Log.Level level, String event, Object... pairs) {
+    public void write(Log.Level level, String event, Object... pairs) {
         LoggingEventBuilder entry =
                 switch (level) {
                     case INFO -> logger.atInfo();
--- /dev/null
+++ b/router/src/main/java/ironwind/net/HostAnswer.java
@@ -0,0 +1,163 @@
+package ironwind.net;
+
+import ironwind.model.Moment;
+import ironwind.model.Role;
+import ironwind.model.Span;
+import ironwind.pg.HostMessage;
+import ironwind.pg.PgException;
+import ironwind.pg.Row;
+import java.math.BigDecimal;
+import java.math.RoundingMode;
+import java.util.HashMap;
+import java.util.Map;
+
+/** The messages that a host sent in answer to one request, or during the startup sequence. */
+final class HostAnswer {
+    /** Decimal digits between milliseconds and microseconds. */
+    private static final int MILLIS_SCALE = 3;
+
+    /** Decimal digits between seconds and microseconds. */
+    private static final int SECONDS_SCALE = 6;
+
+    /**
+     * Most digits before the decimal point, and most after it. A Unix time in milliseconds will
+     * have 13 before the point for some centuries.
+     */
+    private static final int MAX_DIGITS = 15;
+
+    /** How far a position may be ahead of the clock, because hosts may round up to milliseconds. */
+    private static final Span ROUNDING_TOLERANCE = Span.ofMillis(1);
+
+    private byte[] rowDescription;
+    private byte[] dataRow;
+    private String commandTag;
+    private Ending errorEnding;
+    private final Map<String, String> parameters = new HashMap<>();
+
+    /**
+     * Adds the next message.
+     *
+     * @throws PgException if the message is not allowed at this point of an answer
+     */
+    void add(HostMessage message) {
+        if (message instanceof HostMessage.ParameterStatus parameter) {
+            parameters.put(parameter.name(), parameter.value());
+            return;
+        } else if (message instanceof HostMessage.Ignored) {
+            return;
+        }
+        boolean inOrder = errorEnding == null && commandTag == null;
+        if (message instanceof HostMessage.RowDescription part) {
+            inOrder &= rowDescription == null;
+            rowDescription = part.body();
+        } else if (message instanceof HostMessage.DataRow part) {
+            inOrder &= rowDescription != null && dataRow == null;
+            dataRow = part.body();
+        } else if (message instanceof HostMessage.CommandComplete complete) {
+            inOrder &= dataRow != null;
+            commandTag = complete.tag();
+        } else if (message instanceof HostMessage.ErrorResponse error) {
+            errorEnding = Ending.of(error.error());
+        }
+        if (!inOrder) {
+            throw new PgException(
+                    PgException.PROTOCOL_VIOLATION, "unexpected order of messages in an answer");
+        }
+    }
+
+    /** Returns how the request has ended if no further message comes. */
+    Ending ending() {
+        return errorEnding != null
+                ? errorEnding
+                : commandTag != null ? Ending.SERVED : Ending.MALFORMED_ANSWER;
+    }
+
+    /**
+     * Whether the answer is complete. A ReadyForQuery that follows only tells that the connection
+     * can be used again.
+     */
+    boolean isComplete() {
+        return errorEnding != null || commandTag != null;
+    }
+
+    /** Returns the answer's row; its parts are null as far as they have not arrived. */
+    Row row() {
+        return new Row(rowDescription, dataRow, commandTag);
+    }
+
+    /** Returns the role that the host reported; {@link Role#UNKNOWN} for none. */
+    Role role() {
+        return switch (parameters.getOrDefault("role", "")) {
+            case "primary" -> Role.PRIMARY;
+            case "replica" -> Role.REPLICA;
+            default -> Role.UNKNOWN;
+        };
+    }
+
+    /**
+     * Returns the log position that the host reported, rounded down; {@link Moment#NEVER} for none.
+     */
+    Moment position(Moment now) {
+        return parsePosition(parameters.get("applied_ms"), MILLIS_SCALE, now);
+    }
+
+    /**
+     * Returns the role in a load report, which is the row of a probe's answer; {@link Role#UNKNOWN}
+     * for none.
+     */
+    Role loadReportRole() {
+        BigDecimal primaryFlag = parseNumber(loadReportValue("x1"));
+        return primaryFlag == null
+                ? Role.UNKNOWN
+                : primaryFlag.compareTo(BigDecimal.ONE) >= 0 ? Role.PRIMARY : Role.REPLICA;
+    }
+
+    /** Returns the log position in a load report, rounded down; {@link Moment#NEVER} for none. */
+    Moment loadReportPosition(Moment now) {
+        return parsePosition(loadReportValue("x0"), SECONDS_SCALE, now);
+    }
+
+    /**
+     * Parses a position as a decimal number, not in floating point: a position that is rounded up
+     * would let a read miss data.
+     */
+    private static Moment parsePosition(String text, int scale, Moment now) {
+        BigDecimal number = parseNumber(text);
+        if (number == null || number.signum() <= 0) {
+            return Moment.NEVER;
+        }
+        Moment position =
+                new Moment(
+                        number.movePointRight(scale).setScale(0, RoundingMode.FLOOR).longValue());
+        // All machines have the same clock, so no host can have applied a position in the future.
+        return position.after(now.plus(ROUNDING_TOLERANCE)) ? Moment.NEVER : position;
+    }
+
+    /** Returns a value of the load report, a list of name=value pairs; null if it is missing. */
+    private String loadReportValue(String name) {
+        String report = dataRow == null ? null : row().text();
+        if (report != null) {
+            for (String pair : report.split(",")) {
+                int equals = pair.indexOf('=');
+                if (equals == name.length() && pair.startsWith(name)) {
+                    return pair.substring(equals + 1);
+                }
+            }
+        }
+        return null;
+    }
+
+    /** Returns null if the text is missing, not a number or out of range. */
+    private static BigDecimal parseNumber(String text) {
+        try {
+            BigDecimal number = text == null ? null : new BigDecimal(text);
+            boolean inRange =
+                    number != null
+                            && number.precision() - number.scale() <= MAX_DIGITS
+                            && number.scale() <= MAX_DIGITS;
+            return inRange ? number : null;
+        } catch (NumberFormatException e) {
+            return null;
+        }
+    }
+}
--- /dev/null
+++ b/router/src/main/java/ironwind/net/HostConnectionPool.java
@@ -0,0 +1,322 @@
+package ironwind.net;
+
+import io.netty.channel.IoEventLoop;
+import ironwind.config.Address;
+import ironwind.config.RouterConfig;
+import ironwind.idle.MemoryBudget;
+import ironwind.idle.MemoryBudget.Use;
+import ironwind.model.Moment;
+import ironwind.model.Span;
+import ironwind.net.Counters.Count;
+import ironwind.pg.PgException;
+import java.io.IOException;
+import java.util.ArrayDeque;
+import java.util.ArrayList;
+import java.util.Deque;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import java.util.function.Predicate;
+
+/**
+ * The pool of connections to hosts. A connection carries one request at a time; a new one is opened
+ * only if none to the host is idle.
+ */
+final class HostConnectionPool {
+    /**
+     * Fraction of the hosts' idle timeout after which the router itself closes an idle connection:
+     * a request that crosses the host's close would be lost.
+     */
+    private static final double IDLE_TIMEOUT_FRACTION = 0.75;
+
+    /** Fraction of the router's memory that one message of a host may take. */
+    private static final double MAX_MESSAGE_FRACTION = 1.0 / 64;
+
+    private static final int MEBIBYTE = 1 << 20;
+
+    /**
+     * How long a connection must have been idle before it is used again: by then, unsolicited data
+     * that the host sent behind its last answer has arrived.
+     */
+    private static final Span QUIET_PERIOD = Span.ofMillis(3);
+
+    private final Timers timers;
+    private final IoEventLoop loop;
+    private final LoopSocket.Buffers buffers;
+    private boolean stopped;
+    private final Span connectTimeout;
+    private final Span idleTimeout;
+    private final int maxSockets;
+
+    /**
+     * Largest accepted message body of a host, in bytes. It is above the protocol specification's
+     * cap on values, because some messages that are larger than that are valid.
+     */
+    final int maxMessageBytes;
+
+    private final Counters counters;
+    private final Log log;
+    private final Map<String, Address> addresses = new HashMap<>();
+
+    /** Idle connections by host id, the most recently used first. */
+    private final Map<String, Deque<HostConnection>> idleConnections = new LinkedHashMap<>();
+
+    private final Set<HostConnection> openConnections = new HashSet<>();
+
+    /** Sockets that are connecting or open; each takes a file descriptor. */
+    private int openSockets;
+
+    /**
+     * Connections that don't read until there is memory for the rest of a message, oldest first.
+     */
+    private final Deque<HostConnection> waitingForMemory = new ArrayDeque<>();
+
+    private final MemoryBudget budget;
+
+    /** Creates an empty pool that opens at most the given number of sockets. */
+    HostConnectionPool(
+            IoEventLoop loop,
+            Timers timers,
+            LoopSocket.Buffers buffers,
+            RouterConfig config,
+            MemoryBudget budget,
+            int maxSockets,
+            Counters counters,
+            Log log) {
+        this.loop = loop;
+        this.timers = timers;
+        this.buffers = buffers;
+        this.connectTimeout = config.connectTimeout();
+        this.idleTimeout = config.hostIdleTimeout().times(IDLE_TIMEOUT_FRACTION);
+        this.budget = budget;
+        this.maxSockets = maxSockets;
+        this.maxMessageBytes = (int) (MAX_MESSAGE_FRACTION * config.memoryMb() * MEBIBYTE);
+        this.counters = counters;
+        this.log = log;
+        scheduleIdleSweep();
+    }
+
+    private void scheduleIdleSweep() {
+        timers.schedule(
+                idleTimeout.times(1 - IDLE_TIMEOUT_FRACTION),
+                () -> {
+                    if (!stopped) {
+                        closeExpired();
+                        scheduleIdleSweep();
+                    }
+                });
+    }
+
+    /** Sets a host's address; if it has changed, idle connections to the old one are closed. */
+    void setAddress(String hostId, Address address) {
+        Address previous = addresses.put(hostId, address);
+        if (previous != null && !previous.equals(address)) {
+            closeIdle(hostId);
+        }
+    }
+
+    /** Removes the addresses and idle connections of the hosts whose ids match. */
+    void removeHosts(Predicate<String> hostIds) {
+        addresses.keySet().removeIf(hostIds);
+        idleConnections.keySet().stream().filter(hostIds).toList().forEach(this::closeIdle);
+        idleConnections.keySet().removeIf(hostIds);
+    }
+
+    /**
+     * Acquires a connection for a request: an idle one, which is ready, or a new one that is still
+     * connecting.
+     *
+     * @return the connection; null if no socket or descriptor is free, or the host has no address
+     */
+    HostConnection acquire(String hostId, HostConnection.Request request) {
+        HostConnection idle = pollIdle(hostId);
+        if (idle != null) {
+            idle.assign(request);
+            return idle;
+        }
+        Address address = addresses.get(hostId);
+        if (address == null || !ensureFreeSocket()) {
+            log.warn(
+                    "no_socket",
+                    "host",
+                    hostId,
+                    "address",
+                    address,
+                    "sockets",
+                    openSockets,
+                    "most",
+                    maxSockets);
+            return null;
+        }
+        HostConnection connection = new HostConnection(hostId, this, request);
+        try {
+            connection.attach(LoopSocket.connect(loop, address, buffers, connection));
+        } catch (IOException e) {
+            log.warn(
+                    "no_descriptor",
+                    "host",
+                    hostId,
+                    "sockets",
+                    openSockets,
+                    "cause",
+                    e.getMessage());
+            return null;
+        }
+        openConnections.add(connection);
+        counters.add(Count.HOST_CONNECTIONS);
+        scheduleAfterConnectTimeout(() -> connection.failConnect(Ending.NOT_ESTABLISHED));
+        openSockets++;
+        return connection;
+    }
+
+    /**
+     * Removes and returns an idle connection to the host, or null. Only those are taken that have
+     * been idle for {@link #QUIET_PERIOD}, so that unsolicited data has been detected.
+     */
+    private HostConnection pollIdle(String hostId) {
+        Deque<HostConnection> candidates = idleConnections.get(hostId);
+        Moment latestIdleSince = Clock.read().minus(QUIET_PERIOD);
+        if (candidates != null) {
+            for (HostConnection connection : candidates) {
+                if (!connection.idleSince.after(latestIdleSince)) {
+                    candidates.remove(connection);
+                    return connection;
+                }
+            }
+        }
+        return null;
+    }
+
+    /**
+     * Returns whether a socket is free. If none is, closes one idle connection first, which may be
+     * to any host.
+     */
+    private boolean ensureFreeSocket() {
+        if (openSockets >= maxSockets) {
+            for (Deque<HostConnection> candidates : idleConnections.values()) {
+                if (!candidates.isEmpty()) {
+                    candidates.peekLast().close();
+                    break;
+                }
+            }
+        }
+        return openSockets < maxSockets;
+    }
+
+    /** Returns a connection to the pool. */
+    void release(HostConnection connection) {
+        connection.idleSince = Clock.read();
+        idleConnections
+                .computeIfAbsent(connection.hostId, id -> new ArrayDeque<>())
+                .push(connection);
+    }
+
+    /** Removes a connection that is being closed. */
+    void remove(HostConnection connection) {
+        openConnections.remove(connection);
+        Deque<HostConnection> idle = idleConnections.get(connection.hostId);
+        if (idle != null) {
+            idle.remove(connection);
+        }
+    }
+
+    /** The socket of a connection has been closed. */
+    void onSocketClosed() {
+        openSockets--;
+    }
+
+    /**
+     * Reserves memory for an answer that has arrived in part.
+     *
+     * @return whether the memory is reserved; if not, {@link HostConnection#resumeReading} is
+     *     called once it is
+     */
+    boolean tryReserveMemory(HostConnection connection, int bytes) {
+        boolean reserved =
+                waitingForMemory.isEmpty() && budget.tryReserve(Use.PARTIAL_ANSWERS, bytes);
+        if (!reserved) {
+            waitingForMemory.add(connection);
+            log.warn(
+                    "answer_waits_for_memory",
+                    "host",
+                    connection.hostId,
+                    "bytes",
+                    bytes,
+                    "lent",
+                    budget.totalReserved());
+        }
+        return reserved;
+    }
+
+    /** Releases a connection's memory, and no longer lets it wait for more. */
+    void releaseMemory(HostConnection connection, int bytes) {
+        budget.release(Use.PARTIAL_ANSWERS, bytes);
+        waitingForMemory.remove(connection);
+        onMemoryReleased();
+    }
+
+    /** Resumes connections that wait for memory, in order, as far as there is enough. */
+    void onMemoryReleased() {
+        while (!waitingForMemory.isEmpty()
+                && budget.tryReserve(Use.PARTIAL_ANSWERS, waitingForMemory.peek().awaitedBytes())) {
+            waitingForMemory.poll().resumeReading();
+        }
+    }
+
+    /** Counts the ending of a connection that carried no request. */
+    void recordEnding(Ending ending) {
+        counters.add(ending);
+    }
+
+    /** Logs that a host sent data that belongs to no request. */
+    void logUnsolicitedData(HostConnection connection, int bytes) {
+        log.warn("host_surplus", "host", connection.hostId, "bytes", bytes);
+    }
+
+    /** Runs an action on the event loop after the current one. */
+    void execute(Runnable action) {
+        timers.execute(action);
+    }
+
+    /** Runs an action after the connect timeout, within which a live host accepts a connection. */
+    void scheduleAfterConnectTimeout(Runnable action) {
+        timers.schedule(connectTimeout, action);
+    }
+
+    /** Logs that a host sent a malformed message or answer. */
+    void logMalformedData(HostConnection connection, PgException cause) {
+        log.warn("host_garbled", "host", connection.hostId, "what", cause.getMessage());
+    }
+
+    /** Closes the idle connections to a host. */
+    void closeIdle(String hostId) {
+        closeIdle(new ArrayList<>(idleConnections.getOrDefault(hostId, new ArrayDeque<>())));
+    }
+
+    private void closeExpired() {
+        Moment earliestIdleSince = Clock.read().minus(idleTimeout);
+        List<HostConnection> expired = new ArrayList<>();
+        for (Deque<HostConnection> idle : idleConnections.values()) {
+            idle.stream()
+                    .filter(connection -> connection.idleSince.before(earliestIdleSince))
+                    .forEach(expired::add);
+        }
+        closeIdle(expired);
+    }
+
+    private void closeIdle(List<HostConnection> connections) {
+        for (HostConnection connection : connections) {
+            connection.close();
+            counters.add(Ending.IDLE_CLOSED);
+        }
+    }
+
+    /** Closes all connections without notifying their requests, and ends the idle sweep. */
+    void stop() {
+        stopped = true;
+        new ArrayList<>(openConnections).forEach(HostConnection::close);
+    }
+}
