--- a/lab/src/test/java/ironwind/lab/IdleRouterTest.java
+++ b/lab/src/test/java/ironwind/lab/IdleRouterTest.java
@@ -106,7 +106,7 @@
                                 facts,
                                 OperatorSettings.read(file, facts.clientLimits()),
                                 new Log(new PrintStream(PrintStream.nullOutputStream())))
-                        .unrehearsed();
+                        .withoutWarmup();
         router.start().await(10, TimeUnit.SECONDS);
         Talk first = talk();
         first.greet();
--- a/router/src/main/java/ironwind/net/Door.java
+++ b/router/src/main/java/ironwind/net/Acceptor.java
@@ -18,7 +18,7 @@
  * The listening socket, on the loop that serves: nothing is let in while there is no room for it,
  * or faster than is allowed; it waits in the system's queue.
  */
-final class Door extends NioSelectableChannelIoHandle<ServerSocketChannel> {
+final class Acceptor extends NioSelectableChannelIoHandle<ServerSocketChannel> {
     /** The system may allow fewer. */
     private static final int QUEUE = 16_384;
 
@@ -29,41 +29,41 @@
     private static final Span REST = Span.ofMillis(100);
 
     /** Says whether one more may come in, and takes it. */
-    interface Host {
+    interface Handler {
         /**
          * How long the door stays shut; zero where one may come in now, null until {@link
-         * Door#look} is called.
+         * Acceptor#tryResume} is called.
          */
-        Span shutFor();
+        Span acceptPause();
 
-        void connected(SocketChannel socket);
+        void onAccepted(SocketChannel socket);
     }
 
     private final ServerSocketChannel channel;
-    private final Host host;
+    private final Handler handler;
     private final Timers timers;
     private final Consumer<IOException> noDescriptor;
     private IoRegistration registration;
     private boolean shut;
     private boolean timed;
 
-    private Door(
+    private Acceptor(
             ServerSocketChannel channel,
-            Host host,
+            Handler handler,
             Timers timers,
             Consumer<IOException> noDescriptor) {
         super(channel);
         this.channel = channel;
-        this.host = host;
+        this.handler = handler;
         this.timers = timers;
         this.noDescriptor = noDescriptor;
     }
 
     /** Listens, on the loop only. An {@link IOException} tells that the address can't be had. */
-    static Door open(
+    static Acceptor open(
             IoEventLoop loop,
             Address at,
-            Host host,
+            Handler handler,
             Timers timers,
             Consumer<IOException> noDescriptor)
             throws IOException {
@@ -76,7 +76,7 @@
             channel.close();
             throw taken;
         }
-        Door door = new Door(channel, host, timers, noDescriptor);
+        Acceptor door = new Acceptor(channel, handler, timers, noDescriptor);
         loop.register(door)
                 .addListener(
                         result -> {
@@ -98,7 +98,7 @@
                 if (socket == null) {
                     return;
                 }
-                host.connected(socket);
+                handler.onAccepted(socket);
             } catch (IOException none) {
                 noDescriptor.accept(none);
                 shut(REST);
@@ -108,7 +108,7 @@
     }
 
     private boolean open() {
-        Span rest = host.shutFor();
+        Span rest = handler.acceptPause();
         if (rest == null || rest.us() > 0) {
             shut(rest);
         }
@@ -124,13 +124,13 @@
                     rest,
                     () -> {
                         timed = false;
-                        look();
+                        tryResume();
                     });
         }
     }
 
     /** There may be room again. */
-    void look() {
+    void tryResume() {
         if (shut && !timed) {
             shut = false;
             if (open()) {
--- a/router/src/main/java/ironwind/net/ClientConnection.java
+++ b/router/src/main/java/ironwind/net/ClientConnection.java
@@ -19,7 +19,7 @@
  * One client's connection: its commands are taken as they come and answered in their order. While
  * it says nothing it holds no buffer, no list and no timer.
  */
-final class ClientConnection extends TrackedConnection implements LoopSocket.Owner {
+final class ClientConnection extends TrackedConnection implements LoopSocket.Handler {
     /**
      * Commands of a client that are read ahead of the answer to the first: each may hold a value in
      * memory.
@@ -27,7 +27,7 @@
     private static final int MOST_AHEAD = 16;
 
     private final LoopSocket socket;
-    private final Clients clients;
+    private final ClientConnections clients;
 
     /** What has come of a message that is not whole; null where none has begun. */
     private FrameDecoder frames;
@@ -55,7 +55,7 @@
     private boolean parting;
     private boolean closed;
 
-    ClientConnection(SocketChannel channel, Clients clients, Span waited) {
+    ClientConnection(SocketChannel channel, ClientConnections clients, Span waited) {
         this.clients = clients;
         this.waited = waited;
         this.socket = new LoopSocket(channel, clients.buffers, this);
@@ -70,7 +70,7 @@
     // ---- what comes
 
     @Override
-    public void readable() {
+    public void onReadable() {
         if (!closed && clients.mayRead(this)) {
             read();
         } else {
@@ -239,7 +239,7 @@
 
     Exchange add(Statement statement, int bytes) {
         Exchange exchange = new Exchange(statement, this::flush);
-        exchange.lent = bytes;
+        exchange.reservedBytes = bytes;
         if (last == null) {
             first = exchange;
         } else {
@@ -274,7 +274,7 @@
     }
 
     @Override
-    public void taken(int bytes) {
+    public void onWritten(int bytes) {
         if (!closed) {
             clients.took(this, bytes);
             proceed();
@@ -282,7 +282,7 @@
     }
 
     @Override
-    public void broken() {
+    public void onFailure() {
         // Not at once: whoever writes is in the midst of something.
         clients.soon(() -> closed(Ending.CLIENT_LEFT));
     }
@@ -326,7 +326,7 @@
         if (anew || now != state()) {
             clients.stands(this, now);
         }
-        socket.listen(!parting && !hasEnough() && !clients.waits(this));
+        socket.setReadInterest(!parting && !hasEnough() && !clients.waits(this));
     }
 
     /** Closes the connection between two requests, now or once what it has brought is answered. */
--- a/router/src/main/java/ironwind/net/Clients.java
+++ b/router/src/main/java/ironwind/net/ClientConnections.java
@@ -35,7 +35,7 @@
  * All connections of clients: what comes in on them becomes RPCs. Who is let in, kept and read is
  * decided in {@code ironwind.idle}; this carries it out.
  */
-final class Clients implements Door.Host {
+final class ClientConnections implements Acceptor.Handler {
     /** In milliseconds, as far as times can be reckoned with. */
     private static final long LONGEST_MS = Long.MAX_VALUE / 1_000_000;
 
@@ -85,14 +85,14 @@
     private final List<Exchange> askedWhetherReady = new ArrayList<>();
 
     private LoopLag lag;
-    private Door door;
-    private Rehearsal rehearsal;
+    private Acceptor acceptor;
+    private Warmup rehearsal;
     private boolean turnDue;
     private boolean ready;
     private boolean dismissing;
     private Runnable whenGone = () -> {};
 
-    Clients(
+    ClientConnections(
             IoEventLoop loop,
             Timers timers,
             LoopSocket.Buffers buffers,
@@ -121,8 +121,8 @@
 
     void listen() throws IOException {
         lag = new LoopLag(LOOK_EVERY, Clock.read());
-        door =
-                Door.open(
+        acceptor =
+                Acceptor.open(
                         loop,
                         facts.listen(),
                         this,
@@ -138,14 +138,14 @@
     }
 
     int port() {
-        return door.port();
+        return acceptor.port();
     }
 
     /**
      * Until the router is ready, and a little longer for what is on its way, it is its rehearsal's
      * host, too.
      */
-    void rehearse(Rehearsal rehearsed) {
+    void rehearse(Warmup rehearsed) {
         rehearsal = rehearsed;
         rehearsed.start(new Address(facts.listen().ip(), port()));
     }
@@ -166,7 +166,7 @@
     // ---- the door
 
     @Override
-    public Span shutFor() {
+    public Span acceptPause() {
         if (keeper.connectionCount() >= most) {
             return null;
         }
@@ -175,7 +175,7 @@
     }
 
     @Override
-    public void connected(SocketChannel channel) {
+    public void onAccepted(SocketChannel channel) {
         counters.add(Count.CLIENTS);
         Object address;
         try {
@@ -195,7 +195,7 @@
         }
         makeRoom();
         CloseReason refusal = keeper.refusalReason(address);
-        ClientConnection client = new ClientConnection(channel, this, lag.at(Clock.read()));
+        ClientConnection client = new ClientConnection(channel, this, lag.lagAt(Clock.read()));
         keeper.add(client, address, now());
         client.begin();
         if (refusal != null) {
@@ -245,15 +245,15 @@
 
     private void look() {
         Moment time = Clock.read();
-        Span stood = lag.at(time);
+        Span stood = lag.lagAt(time);
         if (stood.longerThan(STOOD_STILL)) {
             log.warn("loop_stood", "ms", stood.us() / 1_000, "ready", ready);
         }
-        lag.beat(time);
+        lag.recordTick(time);
         endDue();
         endDebtors(now());
         logic.memoryFreed();
-        door.look();
+        acceptor.tryResume();
         if (turns.hasQueued()) {
             callTurn();
         }
@@ -378,8 +378,8 @@
         if (turns.hasQueued()) {
             callTurn();
         }
-        budget.release(Use.OPEN_RPCS, exchange.lent);
-        exchange.lent = 0;
+        budget.release(Use.OPEN_RPCS, exchange.reservedBytes);
+        exchange.reservedBytes = 0;
         if (exchange.rpc != null) {
             TrackedConnection over = keeper.recordAnswer(client, exchange.rpc.customer, now());
             if (over != null && over != client) {
@@ -402,11 +402,11 @@
         debtors.remove(client);
         keeper.remove(client);
         for (Exchange exchange = unanswered; exchange != null; exchange = exchange.next) {
-            budget.release(Use.OPEN_RPCS, exchange.lent);
-            exchange.lent = 0;
+            budget.release(Use.OPEN_RPCS, exchange.reservedBytes);
+            exchange.reservedBytes = 0;
             logic.left(exchange);
         }
-        door.look();
+        acceptor.tryResume();
         if (dismissing && keeper.connectionCount() == 0) {
             whenGone.run();
         }
@@ -464,7 +464,7 @@
                         : 0;
         int bytes = OPEN_RPC_BYTES + 2 * statement.text().length();
         Span waited = turns.queueTime(client, now());
-        Span lay = waited.longer(client.lay(lag.at(Clock.read())));
+        Span lay = waited.longer(client.lay(lag.lagAt(Clock.read())));
         LogicTask.Asked asked =
                 new LogicTask.Asked(
                         statement.required("id"),
@@ -526,8 +526,8 @@
     }
 
     void stop() {
-        if (door != null) {
-            door.close();
+        if (acceptor != null) {
+            acceptor.close();
         }
     }
 }
--- a/router/src/main/java/ironwind/net/Exchange.java
+++ b/router/src/main/java/ironwind/net/Exchange.java
@@ -8,24 +8,24 @@
     /** What was asked; null where no RPC came of it. */
     final Statement statement;
 
-    private final Runnable whenAnswered;
+    private final Runnable onAnswered;
     Rpc rpc;
 
     /** Runs out where an answer is owed and does not come. */
-    Timers.Timer guard;
+    Timers.Timer watchdog;
 
     /** The command that came after it on its connection. */
     Exchange next;
 
     /** Bytes lent for it until it is answered. */
-    int lent;
+    int reservedBytes;
 
     private boolean answered;
     private byte[][] answer;
 
-    Exchange(Statement statement, Runnable whenAnswered) {
+    Exchange(Statement statement, Runnable onAnswered) {
         this.statement = statement;
-        this.whenAnswered = whenAnswered;
+        this.onAnswered = onAnswered;
     }
 
     /** Takes the one answer; true if it is the first. */
@@ -35,10 +35,10 @@
         }
         answered = true;
         answer = parts;
-        if (guard != null) {
-            guard.cancel();
+        if (watchdog != null) {
+            watchdog.cancel();
         }
-        whenAnswered.run();
+        onAnswered.run();
         return true;
     }
 
--- a/router/src/main/java/ironwind/net/HostConnection.java
+++ b/router/src/main/java/ironwind/net/HostConnection.java
@@ -10,7 +10,7 @@
 import java.net.ConnectException;
 
 /** One connection to a host: brought up, then used for one request after another. */
-final class HostConnection implements LoopSocket.Owner {
+final class HostConnection implements LoopSocket.Handler {
     private static final String USER = "client";
     private static final String DATABASE = "core";
 
@@ -68,15 +68,15 @@
 
     /** The socket is there: says hello, and waits for the host's welcome. */
     @Override
-    public void connected() {
+    public void onConnected() {
         if (!closed) {
-            socket.listen(true);
+            socket.setReadInterest(true);
             socket.write(Encoder.startup(USER, DATABASE));
         }
     }
 
     @Override
-    public void unconnected(IOException cause) {
+    public void onConnectFailed(IOException cause) {
         failed(cause instanceof ConnectException ? Ending.REFUSED : Ending.NEVER_UP);
     }
 
@@ -91,7 +91,7 @@
     }
 
     @Override
-    public void taken(int bytes) {
+    public void onWritten(int bytes) {
         unwritten = Math.max(0, unwritten - bytes);
     }
 
@@ -117,7 +117,7 @@
     }
 
     @Override
-    public void readable() {
+    public void onReadable() {
         byte[] bytes = closed ? null : socket.read();
         if (bytes == null) {
             hungUp();
@@ -170,7 +170,7 @@
             if (pool.lend(this, more)) {
                 lent();
             } else {
-                socket.listen(false);
+                socket.setReadInterest(false);
             }
         }
     }
@@ -188,7 +188,7 @@
     /** The memory that it waited for is lent. */
     void readOn() {
         lent();
-        socket.listen(true);
+        socket.setReadInterest(true);
     }
 
     private void giveBack() {
@@ -246,7 +246,7 @@
     }
 
     @Override
-    public void broken() {
+    public void onFailure() {
         // Not at once: whoever writes is in the midst of something.
         pool.soon(this::hungUp);
     }
--- a/router/src/main/java/ironwind/net/LogicTask.java
+++ b/router/src/main/java/ironwind/net/LogicTask.java
@@ -234,10 +234,11 @@
 
     private void watch(Exchange exchange) {
         Span longest = exchange.rpc.deadline.plus(answerSlack).since(Clock.read());
-        if (exchange.guard != null) {
-            exchange.guard.cancel();
+        if (exchange.watchdog != null) {
+            exchange.watchdog.cancel();
         }
-        exchange.guard = timers.after(longest, () -> put(exchange, due -> overdue(due, exchange)));
+        exchange.watchdog =
+                timers.after(longest, () -> put(exchange, due -> overdue(due, exchange)));
     }
 
     /**
--- a/router/src/main/java/ironwind/net/LoopLag.java
+++ b/router/src/main/java/ironwind/net/LoopLag.java
@@ -21,11 +21,11 @@
     }
 
     /** All sockets have been looked at since the beat was due. */
-    void beat(Moment now) {
+    void recordTick(Moment now) {
         due = now.plus(every);
     }
 
-    Span at(Moment now) {
+    Span lagAt(Moment now) {
         return now.after(due) ? now.since(due) : Span.ZERO;
     }
 }
--- a/router/src/main/java/ironwind/net/LoopSocket.java
+++ b/router/src/main/java/ironwind/net/LoopSocket.java
@@ -31,26 +31,26 @@
     private static final int CHUNK_BYTES = Buffers.PAGE_BYTES << Buffers.PAGES_AS_POWER;
 
     /** What happens on it. */
-    interface Owner {
+    interface Handler {
         /** What {@link #connect} began has come up. */
-        default void connected() {}
+        default void onConnected() {}
 
         /** What {@link #connect} began never comes up. */
-        default void unconnected(IOException cause) {}
+        default void onConnectFailed(IOException cause) {}
 
         /** Something has come, or the peer is gone: time to {@link #read}. */
-        void readable();
+        void onReadable();
 
         /** The system took so many bytes of what was left over. */
-        void taken(int bytes);
+        void onWritten(int bytes);
 
         /** It is of no use any more. */
-        void broken();
+        void onFailure();
     }
 
     private final SocketChannel channel;
     private final Buffers buffers;
-    private final Owner owner;
+    private final Handler handler;
     private IoRegistration registration;
     private int interest;
 
@@ -88,32 +88,32 @@
         }
     }
 
-    LoopSocket(SocketChannel channel, Buffers buffers, Owner owner) {
+    LoopSocket(SocketChannel channel, Buffers buffers, Handler handler) {
         super(channel);
         this.channel = channel;
         this.buffers = buffers;
-        this.owner = owner;
+        this.handler = handler;
     }
 
     /**
      * Begins to connect, on the loop only; the owner hears of the end of it, later. An {@link
      * IOException} tells that the system has no descriptor.
      */
-    static LoopSocket connect(IoEventLoop loop, Address to, Buffers buffers, Owner owner)
+    static LoopSocket connect(IoEventLoop loop, Address to, Buffers buffers, Handler handler)
             throws IOException {
         SocketChannel channel = SocketChannel.open();
-        LoopSocket socket = new LoopSocket(channel, buffers, owner);
+        LoopSocket socket = new LoopSocket(channel, buffers, handler);
         try {
             channel.configureBlocking(false);
             channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
             if (channel.connect(new InetSocketAddress(to.ip(), to.port()))) {
-                loop.execute(owner::connected);
+                loop.execute(handler::onConnected);
             } else {
                 socket.interest = SelectionKey.OP_CONNECT;
             }
             socket.register(loop);
         } catch (IOException refused) {
-            loop.execute(() -> owner.unconnected(refused));
+            loop.execute(() -> handler.onConnectFailed(refused));
         }
         return socket;
     }
@@ -123,10 +123,10 @@
         try {
             ready.finishConnect();
         } catch (IOException refused) {
-            owner.unconnected(refused);
+            handler.onConnectFailed(refused);
             return;
         }
-        owner.connected();
+        handler.onConnected();
     }
 
     /** From now on it is looked at; on the loop only. */
@@ -138,13 +138,13 @@
                                 registration = (IoRegistration) result.getNow();
                                 apply();
                             } else {
-                                owner.broken();
+                                handler.onFailure();
                             }
                         });
     }
 
     /** Whether it tells what comes. */
-    void listen(boolean reading) {
+    void setReadInterest(boolean reading) {
         want(reading ? interest | SelectionKey.OP_READ : interest & ~SelectionKey.OP_READ);
     }
 
@@ -174,10 +174,10 @@
             return;
         }
         if ((ops & SelectionKey.OP_WRITE) != 0) {
-            owner.taken(flush());
+            handler.onWritten(flush());
         }
         if ((ops & SelectionKey.OP_READ) != 0 && ready.isOpen()) {
-            owner.readable();
+            handler.onReadable();
         }
     }
 
@@ -231,7 +231,7 @@
             }
             return sum + channel.write(out.flip());
         } catch (IOException reset) {
-            owner.broken();
+            handler.onFailure();
             return sum;
         }
     }
@@ -265,7 +265,7 @@
                 left = left.isEmpty() ? null : left;
             }
         } catch (IOException reset) {
-            owner.broken();
+            handler.onFailure();
         }
         if (left == null) {
             want(interest & ~SelectionKey.OP_WRITE);
--- a/router/src/main/java/ironwind/net/Router.java
+++ b/router/src/main/java/ironwind/net/Router.java
@@ -51,7 +51,7 @@
     private final Vertx vertx;
     private final Context context;
     private boolean rehearses = true;
-    private Clients clients;
+    private ClientConnections clients;
     private HostConnections hosts;
     private Discovery discovery;
     private LogicTask logic;
@@ -131,7 +131,7 @@
                     logic = new LogicTask(timers, facts, module, hosts, counters, log);
                     discovery = new Discovery(vertx, facts, logic, hosts, counters, log);
                     clients =
-                            new Clients(
+                            new ClientConnections(
                                     loop,
                                     timers,
                                     buffers,
@@ -177,7 +177,7 @@
         if (rehearses) {
             int most = Math.max(1, facts.maxClientConnections() / 4);
             clients.rehearse(
-                    new Rehearsal(
+                    new Warmup(
                             loop(),
                             timers,
                             buffers,
@@ -201,7 +201,7 @@
     }
 
     /** Ready as soon as it has heard the list: for embedders whose code is warm already. */
-    public Router unrehearsed() {
+    public Router withoutWarmup() {
         rehearses = false;
         return this;
     }
--- a/router/src/main/java/ironwind/net/Rehearsal.java
+++ b/router/src/main/java/ironwind/net/Warmup.java
@@ -31,7 +31,7 @@
  * wait. It has a module, a task and connections of its own, and its only hosts are the router's own
  * door, which knows its requests by their ids.
  */
-final class Rehearsal {
+final class Warmup {
     /** By then what serves an RPC has run as often as the JVM wants before it compiles it. */
     private static final int RPCS = 150;
 
@@ -62,7 +62,7 @@
     private boolean over;
 
     /** {@code done} is told how many RPCs were played. */
-    Rehearsal(
+    Warmup(
             IoEventLoop loop,
             Timers timers,
             LoopSocket.Buffers buffers,
--- a/router/src/test/java/ironwind/net/LoopLagTest.java
+++ b/router/src/test/java/ironwind/net/LoopLagTest.java
@@ -24,8 +24,8 @@
         Moment opened = Moment.ofMillis(1_000_000);
         LoopLag lag = new LoopLag(Span.ofMillis(100), opened);
         if (beat >= 0) {
-            lag.beat(opened.plus(Span.ofMillis(beat)));
+            lag.recordTick(opened.plus(Span.ofMillis(beat)));
         }
-        assertThat(lag.at(opened.plus(Span.ofMillis(read)))).isEqualTo(Span.ofMillis(lay));
+        assertThat(lag.lagAt(opened.plus(Span.ofMillis(read)))).isEqualTo(Span.ofMillis(lay));
     }
 }
--- a/router/src/test/java/ironwind/net/RouterTest.java
+++ b/router/src/test/java/ironwind/net/RouterTest.java
@@ -163,7 +163,7 @@
                                 hostIdle,
                                 facts.answerSlack()),
                         new Log(new PrintStream(log, true)))
-                .unrehearsed();
+                .withoutWarmup();
     }
 
     private void begin(Router next) throws Exception {
@@ -199,7 +199,7 @@
     private Wire client() throws Exception {
         lists.add(list());
         if (router == null) {
-            begin(new Router(facts, new Log(new PrintStream(log, true))).unrehearsed());
+            begin(new Router(facts, new Log(new PrintStream(log, true))).withoutWarmup());
         }
         return admitted();
     }
@@ -606,7 +606,7 @@
                                                 .put("cell", i / 4))
                         .toArray(JsonObject[]::new);
         lists.add(list(2, entries));
-        begin(new Router(facts, new Log(new PrintStream(log, true))).unrehearsed());
+        begin(new Router(facts, new Log(new PrintStream(log, true))).withoutWarmup());
         Wire client = admitted();
         for (int group = 0; group < 256; group++) {
             for (String form : List.of(READ, WRITE)) {
@@ -702,7 +702,7 @@
                                                         return method.invoke(logic, arguments);
                                                     });
                                 })
-                        .unrehearsed());
+                        .withoutWarmup());
         Wire first = client();
         Wire second = admitted();
         first.send(ask(READ, 1_900));
