--- a/router/src/main/java/ironwind/net/Acceptor.java
+++ b/router/src/main/java/ironwind/net/Acceptor.java
@@ -15,133 +15,143 @@
 import java.util.function.Consumer;
 
 /**
- * The listening socket, on the loop that serves: nothing is let in while there is no room for it,
- * or faster than is allowed; it waits in the system's queue.
+ * Accepts client connections on the event loop. While the handler admits none, because a limit on
+ * connections or on their rate is reached, new ones wait in the operating system's listen backlog.
  */
 final class Acceptor extends NioSelectableChannelIoHandle<ServerSocketChannel> {
-    /** The system may allow fewer. */
-    private static final int QUEUE = 16_384;
+    /** Length of the listen backlog; the operating system may allow less. */
+    private static final int BACKLOG = 16_384;
 
-    /** Let in at a time, so that those inside are served between. */
-    private static final int AT_ONCE = 32;
+    /** Connections accepted per event, so that existing ones are served in between. */
+    private static final int MAX_ACCEPTS_PER_EVENT = 32;
 
-    /** After the system had no descriptor to give. */
-    private static final Span REST = Span.ofMillis(100);
+    /** Pause after a failed accept, for example when no file descriptor is free. */
+    private static final Span ACCEPT_FAILURE_PAUSE = Span.ofMillis(100);
 
-    /** Says whether one more may come in, and takes it. */
+    /** Decides whether connections may be accepted, and takes them over. */
     interface Handler {
         /**
-         * How long the door stays shut; zero where one may come in now, null until {@link
-         * Acceptor#tryResume} is called.
+         * Returns how long accepting is to pause: zero if a connection may be accepted now, null if
+         * accepting pauses until {@link Acceptor#tryResume} is called.
          */
         Span acceptPause();
 
+        /** Takes over an accepted connection, which is in blocking mode. */
         void onAccepted(SocketChannel socket);
     }
 
     private final ServerSocketChannel channel;
     private final Handler handler;
     private final Timers timers;
-    private final Consumer<IOException> noDescriptor;
+    private final Consumer<IOException> onAcceptFailed;
     private IoRegistration registration;
-    private boolean shut;
-    private boolean timed;
+    private boolean paused;
+    private boolean resumeScheduled;
 
     private Acceptor(
             ServerSocketChannel channel,
             Handler handler,
             Timers timers,
-            Consumer<IOException> noDescriptor) {
+            Consumer<IOException> onAcceptFailed) {
         super(channel);
         this.channel = channel;
         this.handler = handler;
         this.timers = timers;
-        this.noDescriptor = noDescriptor;
+        this.onAcceptFailed = onAcceptFailed;
     }
 
-    /** Listens, on the loop only. An {@link IOException} tells that the address can't be had. */
+    /**
+     * Starts to listen. Must be called on the event loop.
+     *
+     * @param onAcceptFailed receives the cause when a connection cannot be accepted
+     * @throws IOException if the address cannot be bound
+     */
     static Acceptor open(
             IoEventLoop loop,
-            Address at,
+            Address address,
             Handler handler,
             Timers timers,
-            Consumer<IOException> noDescriptor)
+            Consumer<IOException> onAcceptFailed)
             throws IOException {
         ServerSocketChannel channel = ServerSocketChannel.open();
         try {
             channel.configureBlocking(false);
             channel.setOption(StandardSocketOptions.SO_REUSEADDR, true);
-            channel.bind(new InetSocketAddress(at.ip(), at.port()), QUEUE);
-        } catch (IOException taken) {
+            channel.bind(new InetSocketAddress(address.ip(), address.port()), BACKLOG);
+        } catch (IOException e) {
             channel.close();
-            throw taken;
+            throw e;
         }
-        Acceptor door = new Acceptor(channel, handler, timers, noDescriptor);
-        loop.register(door)
+        Acceptor acceptor = new Acceptor(channel, handler, timers, onAcceptFailed);
+        loop.register(acceptor)
                 .addListener(
                         result -> {
-                            door.registration = (IoRegistration) result.getNow();
-                            door.apply();
+                            acceptor.registration = (IoRegistration) result.getNow();
+                            acceptor.updateInterest();
                         });
-        return door;
+        return acceptor;
     }
 
+    /** Returns the port that it listens on. */
     int port() {
         return channel.socket().getLocalPort();
     }
 
     @Override
     protected void handle(ServerSocketChannel ready, SelectionKey key) {
-        for (int i = 0; i < AT_ONCE && open(); i++) {
+        for (int i = 0; i < MAX_ACCEPTS_PER_EVENT && mayAccept(); i++) {
             try {
                 SocketChannel socket = ready.accept();
                 if (socket == null) {
                     return;
                 }
                 handler.onAccepted(socket);
-            } catch (IOException none) {
-                noDescriptor.accept(none);
-                shut(REST);
+            } catch (IOException e) {
+                onAcceptFailed.accept(e);
+                pause(ACCEPT_FAILURE_PAUSE);
                 return;
             }
         }
     }
 
-    private boolean open() {
-        Span rest = handler.acceptPause();
-        if (rest == null || rest.us() > 0) {
-            shut(rest);
+    private boolean mayAccept() {
+        Span duration = handler.acceptPause();
+        if (duration == null || duration.us() > 0) {
+            pause(duration);
         }
-        return !shut;
+        return !paused;
     }
 
-    private void shut(Span rest) {
-        shut = true;
-        apply();
-        if (rest != null && !timed) {
-            timed = true;
+    private void pause(Span duration) {
+        paused = true;
+        updateInterest();
+        if (duration != null && !resumeScheduled) {
+            resumeScheduled = true;
             timers.after(
-                    rest,
+                    duration,
                     () -> {
-                        timed = false;
+                        resumeScheduled = false;
                         tryResume();
                     });
         }
     }
 
-    /** There may be room again. */
+    /**
+     * Resumes accepting if the handler allows it. Does nothing during a pause of a known duration,
+     * which ends by itself.
+     */
     void tryResume() {
-        if (shut && !timed) {
-            shut = false;
-            if (open()) {
-                apply();
+        if (paused && !resumeScheduled) {
+            paused = false;
+            if (mayAccept()) {
+                updateInterest();
             }
         }
     }
 
-    private void apply() {
+    private void updateInterest() {
         if (registration != null && registration.isValid()) {
-            registration.submit(shut ? NioIoOps.NONE : NioIoOps.ACCEPT);
+            registration.submit(paused ? NioIoOps.NONE : NioIoOps.ACCEPT);
         }
     }
 
@@ -152,8 +162,8 @@
         }
         try {
             channel.close();
-        } catch (IOException gone) {
-            // it is closed all the same
+        } catch (IOException e) {
+            // The channel is closed nevertheless.
         }
     }
 }
--- a/router/src/main/java/ironwind/net/ClientConnection.java
+++ b/router/src/main/java/ironwind/net/ClientConnection.java
@@ -16,70 +16,76 @@
 import java.util.function.Function;
 
 /**
- * One client's connection: its commands are taken as they come and answered in their order. While
- * it says nothing it holds no buffer, no list and no timer.
+ * Connection of one client. Commands are executed as they arrive and answered in their order. An
+ * idle connection holds no buffer, no list and no timer.
  */
 final class ClientConnection extends TrackedConnection implements LoopSocket.Handler {
     /**
-     * Commands of a client that are read ahead of the answer to the first: each may hold a value in
-     * memory.
+     * Unanswered commands at which reading pauses, because each may hold an answer in memory until
+     * those before it are answered.
      */
-    private static final int MOST_AHEAD = 16;
+    private static final int MAX_PENDING_COMMANDS = 16;
 
     private final LoopSocket socket;
-    private final ClientConnections clients;
+    private final ClientConnections connections;
 
-    /** What has come of a message that is not whole; null where none has begun. */
-    private FrameDecoder frames;
+    /** Holds input that is not processed yet; null if there is none. */
+    private FrameDecoder frameDecoder;
 
-    /** Bytes lent for it. */
-    private int lent;
+    /** Bytes of the memory budget that are reserved for that input. */
+    private int reservedBytes;
 
-    private Exchange first;
-    private Exchange last;
-    private int ahead;
+    /** Unanswered commands, a list linked by {@link Exchange#next}; null if there is none. */
+    private Exchange firstPending;
 
-    /** How long it may have waited to be let in, and its first command with it. */
-    private Span waited;
+    private Exchange lastPending;
+    private int pendingCount;
 
-    private boolean started;
-    private boolean served;
-    private boolean skipping;
-    private boolean proceeding;
+    /** Upper bound of how long the connection, and its first command, waited to be accepted. */
+    private Span acceptDelay;
+
+    private boolean startupDone;
+    private boolean hasAnsweredRpc;
+    private boolean skippingToSync;
+    private boolean processing;
 
     /**
-     * How the connection is to end once all that it brought is answered; null while more may come.
+     * How the connection ends once all its commands are answered; null if it is to stay open. No
+     * more input is processed if it is {@link Ending#CLIENT_MALFORMED}.
      */
-    private Ending closing;
+    private Ending pendingEnding;
+
+    /** Whether a fatal error was written, so that only the client's close is awaited. */
+    private boolean closing;
 
-    private boolean parting;
     private boolean closed;
 
-    ClientConnection(SocketChannel channel, ClientConnections clients, Span waited) {
-        this.clients = clients;
-        this.waited = waited;
-        this.socket = new LoopSocket(channel, clients.buffers, this);
+    /** Creates a connection for an accepted channel; {@link #start} begins to read from it. */
+    ClientConnection(SocketChannel channel, ClientConnections connections, Span acceptDelay) {
+        this.connections = connections;
+        this.acceptDelay = acceptDelay;
+        this.socket = new LoopSocket(channel, connections.buffers, this);
     }
 
-    /** Begins to listen to its client. */
-    void begin() {
-        socket.register(clients.loop);
-        settle();
+    /** Registers the socket with the event loop. */
+    void start() {
+        socket.register(connections.loop);
+        updateState();
     }
 
-    // ---- what comes
+    // ---- input
 
     @Override
     public void onReadable() {
-        if (!closed && clients.mayRead(this)) {
+        if (!closed && connections.readNowOrEnqueue(this)) {
             read();
         } else {
-            settle();
+            updateState();
         }
     }
 
-    /** Its turn to be read has come. */
-    void turn() {
+    /** Reads a connection that the read scheduler has queued. */
+    void readQueued() {
         if (!closed) {
             read();
         }
@@ -88,187 +94,203 @@
     private void read() {
         byte[] bytes = socket.read();
         if (bytes == null) {
-            closed(Ending.CLIENT_LEFT);
+            close(Ending.CLIENT_LEFT);
         } else {
-            received(bytes);
+            receive(bytes);
         }
     }
 
-    private void received(byte[] bytes) {
-        if (bytes.length > 0 && closing != Ending.CLIENT_MALFORMED) {
-            if (frames == null) {
-                frames =
+    private void receive(byte[] bytes) {
+        if (bytes.length > 0 && pendingEnding != Ending.CLIENT_MALFORMED) {
+            if (frameDecoder == null) {
+                frameDecoder =
                         new FrameDecoder(
-                                !started, ClientMessage.TYPES, WireFormat.MAX_MESSAGE_BYTES);
+                                !startupDone, ClientMessage.TYPES, WireFormat.MAX_MESSAGE_BYTES);
             }
-            frames.add(bytes);
-            proceed();
+            frameDecoder.add(bytes);
+            processInput();
         } else {
-            settle();
+            updateState();
         }
-        clients.heard(this);
+        connections.markRead(this);
     }
 
     /**
-     * Takes what has come, but no more while the client is far ahead of its answers or does not
-     * read them.
+     * Executes the commands that have arrived, until too many are unanswered or too many answers
+     * are unsent.
      */
-    private void proceed() {
-        if (proceeding) {
+    private void processInput() {
+        if (processing) {
             return;
         }
-        proceeding = true;
-        boolean took = false;
+        processing = true;
+        boolean handled = false;
         try {
-            Frame frame = next();
+            Frame frame = nextFrame();
             while (frame != null) {
-                took = true;
-                take(ClientMessage.decode(frame));
-                frame = next();
+                handled = true;
+                handle(ClientMessage.decode(frame));
+                frame = nextFrame();
             }
-            keep();
-        } catch (PgException fault) {
-            fail(fault);
+            updateReservation();
+        } catch (PgException e) {
+            fail(e);
         } finally {
-            proceeding = false;
+            processing = false;
         }
-        settle(took);
+        updateState(handled);
     }
 
-    private Frame next() {
-        return frames == null || closed || closing == Ending.CLIENT_MALFORMED || hasEnough()
+    private Frame nextFrame() {
+        return frameDecoder == null
+                        || closed
+                        || pendingEnding == Ending.CLIENT_MALFORMED
+                        || shouldPauseReading()
                 ? null
-                : frames.next();
+                : frameDecoder.next();
     }
 
-    private boolean hasEnough() {
-        return ahead >= MOST_AHEAD || clients.isOwedMuch(this);
+    private boolean shouldPauseReading() {
+        return pendingCount >= MAX_PENDING_COMMANDS || connections.isOverUnsentLimit(this);
     }
 
-    /** What is left of the bytes that came is lent; where nothing is, nothing is held. */
-    private void keep() {
-        int size = frames == null ? 0 : frames.bufferCapacity();
+    /** Reserves memory for the input that is left, or discards the decoder if there is none. */
+    private void updateReservation() {
+        int size = frameDecoder == null ? 0 : frameDecoder.bufferCapacity();
         if (size == 0) {
-            frames = null;
+            frameDecoder = null;
         }
-        if (size != lent) {
-            // Where whole commands wait behind unanswered ones they were taken, and are not to be
-            // lost.
-            if (!clients.lend(size - lent, hasEnough())) {
+        if (size != reservedBytes) {
+            // While reading is paused, the input may contain complete commands. They have been
+            // accepted and must not be lost, so they may exceed the memory limit.
+            if (!connections.reserve(size - reservedBytes, shouldPauseReading())) {
                 throw new PgException(
                         CloseReason.NO_MEMORY.sqlState, CloseReason.NO_MEMORY.message);
             }
-            lent = size;
+            reservedBytes = size;
         }
     }
 
-    private void take(ClientMessage message) {
+    private void handle(ClientMessage message) {
         if (message instanceof ClientMessage.Query query) {
-            command(query.sql());
+            execute(query.sql());
         } else if (message instanceof ClientMessage.Startup) {
-            started = true;
-            frames.startupDone();
+            startupDone = true;
+            frameDecoder.startupDone();
             write(Encoder.startupResponse());
         } else if (message instanceof ClientMessage.EncryptionRequest) {
             write(Encoder.encryptionRejected());
         } else if (message instanceof ClientMessage.ExtendedQuery) {
-            if (!skipping) {
-                skipping = true;
-                refuse(
+            if (!skippingToSync) {
+                skippingToSync = true;
+                answerError(
                         new PgException(
                                 PgException.FEATURE_NOT_SUPPORTED,
-                                "only simple queries are spoken here"),
+                                "the extended query protocol is not supported"),
                         Encoder::error);
             }
         } else if (message instanceof ClientMessage.Sync) {
-            skipping = false;
-            add(null, 0).answer(Encoder.readyForQuery());
+            skippingToSync = false;
+            addExchange(null, 0).answer(Encoder.readyForQuery());
         } else {
-            closed(Ending.CLIENT_LEFT);
+            close(Ending.CLIENT_LEFT);
         }
     }
 
-    /** How long a command that was read while the loop lagged so much may have lain there. */
-    Span lay(Span lag) {
-        Span lay = lag.plus(waited);
-        waited = Span.ZERO;
-        return lay;
+    /**
+     * Returns how long a command that is executed now may have waited before it was read: the lag
+     * of the event loop, for the first command plus the wait to be accepted.
+     */
+    Span takeInputDelay(Span lag) {
+        Span delay = lag.plus(acceptDelay);
+        acceptDelay = Span.ZERO;
+        return delay;
     }
 
-    private void command(String sql) {
+    private void execute(String sql) {
         try {
-            clients.command(this, sql);
-        } catch (PgException fault) {
-            refuse(fault, Encoder::errorAndReady);
+            connections.execute(this, sql);
+        } catch (PgException e) {
+            answerError(e, Encoder::errorAndReady);
         }
     }
 
-    // ---- what goes
+    // ---- output
 
-    /** The error that is owed in place of an answer, in one of the encoder's forms. */
-    private void refuse(PgException fault, Function<PgError, byte[]> form) {
-        clients.malformed(fault);
-        add(null, 0).answer(form.apply(new PgError(fault.sqlState, fault.getMessage(), null)));
+    /** Answers with an error, in the form that the encoder gives it. */
+    private void answerError(PgException e, Function<PgError, byte[]> encoder) {
+        connections.recordMalformed(e);
+        addExchange(null, 0).answer(encoder.apply(new PgError(e.sqlState, e.getMessage(), null)));
     }
 
-    /** The connection ends in an error, after the answers that are owed before it. */
-    void fail(PgException fault) {
-        endWith(() -> refuse(fault, Encoder::fatalError));
+    /** Ends the connection with a fatal error, after the answers to the commands before it. */
+    void fail(PgException e) {
+        closeWith(() -> answerError(e, Encoder::fatalError));
     }
 
-    /** The same for a reason of ours; {@code comeBack} tells when another try makes sense. */
-    void turnAway(CloseReason reason, Span comeBack) {
-        PgError failure = new PgError(reason.sqlState, reason.message, Timers.told(comeBack));
-        endWith(() -> add(null, 0).answer(Encoder.fatalError(failure)));
+    /**
+     * Ends the connection with a fatal error because of a limit of the router.
+     *
+     * @param retryAfter time after which the client may try again; zero leaves it out of the error
+     */
+    void reject(CloseReason reason, Span retryAfter) {
+        PgError error = new PgError(reason.sqlState, reason.message, Timers.told(retryAfter));
+        closeWith(() -> addExchange(null, 0).answer(Encoder.fatalError(error)));
     }
 
-    private void endWith(Runnable error) {
-        if (!closed && closing != Ending.CLIENT_MALFORMED) {
-            closing = Ending.CLIENT_MALFORMED;
-            drop();
-            error.run();
-            settle();
+    private void closeWith(Runnable writeError) {
+        if (!closed && pendingEnding != Ending.CLIENT_MALFORMED) {
+            pendingEnding = Ending.CLIENT_MALFORMED;
+            discardInput();
+            writeError.run();
+            updateState();
         }
     }
 
-    private void drop() {
-        frames = null;
-        clients.lend(-lent, true);
-        lent = 0;
+    private void discardInput() {
+        frameDecoder = null;
+        connections.reserve(-reservedBytes, true);
+        reservedBytes = 0;
     }
 
-    Exchange add(Statement statement, int bytes) {
-        Exchange exchange = new Exchange(statement, this::flush);
+    /**
+     * Appends a command to the unanswered ones.
+     *
+     * @param statement null if the command is not an RPC
+     * @param bytes memory that the caller has reserved for it; released when it is answered
+     */
+    Exchange addExchange(Statement statement, int bytes) {
+        Exchange exchange = new Exchange(statement, this::writeAnswers);
         exchange.reservedBytes = bytes;
-        if (last == null) {
-            first = exchange;
+        if (lastPending == null) {
+            firstPending = exchange;
         } else {
-            last.next = exchange;
+            lastPending.next = exchange;
         }
-        last = exchange;
-        ahead++;
+        lastPending = exchange;
+        pendingCount++;
         return exchange;
     }
 
-    /** Passes on what is answered, in the order of the commands. */
-    private void flush() {
-        while (first != null && first.isAnswered()) {
-            Exchange answered = first;
-            first = answered.next;
-            last = first == null ? null : last;
-            ahead--;
-            served |= answered.rpc != null;
-            write(answered.takeAnswer());
-            clients.answered(this, answered);
+    /** Writes the answers that are due, in the order of the commands. */
+    private void writeAnswers() {
+        while (firstPending != null && firstPending.isAnswered()) {
+            Exchange exchange = firstPending;
+            firstPending = exchange.next;
+            lastPending = firstPending == null ? null : lastPending;
+            pendingCount--;
+            hasAnsweredRpc |= exchange.rpc != null;
+            write(exchange.takeAnswer());
+            connections.onAnswered(this, exchange);
         }
-        proceed();
+        processInput();
     }
 
     private void write(byte[]... parts) {
         if (!closed) {
-            int over = socket.write(parts);
-            if (over > 0 && !closed) {
-                clients.owes(this, over);
+            int unsentBytes = socket.write(parts);
+            if (unsentBytes > 0 && !closed) {
+                connections.addUnsent(this, unsentBytes);
             }
         }
     }
@@ -276,95 +298,101 @@
     @Override
     public void onWritten(int bytes) {
         if (!closed) {
-            clients.took(this, bytes);
-            proceed();
+            connections.recordDrained(this, bytes);
+            processInput();
         }
     }
 
     @Override
     public void onFailure() {
-        // Not at once: whoever writes is in the midst of something.
-        clients.soon(() -> closed(Ending.CLIENT_LEFT));
+        // Deferred, because the caller may be in the middle of a write.
+        connections.executeLater(() -> close(Ending.CLIENT_LEFT));
     }
 
-    // ---- how it stands, and its end
+    // ---- state and closing
 
-    private void settle() {
-        settle(false);
+    private void updateState() {
+        updateState(false);
     }
 
-    /** Says how it stands now; {@code anew}: it has come to stand so since it last said. */
-    private void settle(boolean anew) {
-        if (closed || proceeding) {
+    /**
+     * Updates the connection's state and read interest, and closes it if nothing keeps it open.
+     *
+     * @param restart whether the timeout starts again even if the state is the same
+     */
+    private void updateState(boolean restart) {
+        if (closed || processing) {
             return;
         }
-        if (closing == null && clients.isDismissing()) {
-            closing = Ending.CLIENT_DISMISSED;
+        if (pendingEnding == null && connections.isDraining()) {
+            pendingEnding = Ending.CLIENT_DISMISSED;
         }
-        if (first == null && closing == Ending.CLIENT_MALFORMED) {
-            parting = true;
-        } else if (first == null
-                && (frames == null || !started)
-                && closing == Ending.CLIENT_DISMISSED) {
-            closed(closing);
+        if (firstPending == null && pendingEnding == Ending.CLIENT_MALFORMED) {
+            closing = true;
+        } else if (firstPending == null
+                && (frameDecoder == null || !startupDone)
+                && pendingEnding == Ending.CLIENT_DISMISSED) {
+            close(pendingEnding);
             return;
         }
-        // One that is not read from, as it is owed much, does not keep us waiting for its message:
-        // we keep it waiting.
-        ConnectionState now =
-                parting
+        // While reading is paused, a message is incomplete because the router does not read it, not
+        // because the client is slow: the state is BUSY, to which no message timeout applies.
+        ConnectionState newState =
+                closing
                         ? ConnectionState.CLOSING
-                        : first != null || hasEnough()
+                        : firstPending != null || shouldPauseReading()
                                 ? ConnectionState.BUSY
-                                : !started
+                                : !startupDone
                                         ? ConnectionState.STARTUP
-                                        : frames != null
+                                        : frameDecoder != null
                                                 ? ConnectionState.RECEIVING
-                                                : served
+                                                : hasAnsweredRpc
                                                         ? ConnectionState.IDLE
                                                         : ConnectionState.UNUSED;
-        if (anew || now != state()) {
-            clients.stands(this, now);
+        if (restart || newState != state()) {
+            connections.setState(this, newState);
         }
-        socket.setReadInterest(!parting && !hasEnough() && !clients.waits(this));
+        socket.setReadInterest(!closing && !shouldPauseReading() && !connections.isQueued(this));
     }
 
-    /** Closes the connection between two requests, now or once what it has brought is answered. */
-    void dismiss() {
-        closing = closing == null ? Ending.CLIENT_DISMISSED : closing;
-        settle();
+    /** Closes the connection between two requests: now, or once all its commands are answered. */
+    void drain() {
+        pendingEnding = pendingEnding == null ? Ending.CLIENT_DISMISSED : pendingEnding;
+        updateState();
     }
 
     /**
-     * Ends a connection that is to give way, but not one that has just spoken: what its client has
-     * written is read first, and an RPC that was taken is not lost. Tells whether it ended.
+     * Closes the connection unless its client has just sent something: unread input is processed
+     * first, so that no RPC is lost.
+     *
+     * @return whether the connection is closed
      */
-    boolean giveWay() {
-        if (!closed && !parting) {
+    boolean evict() {
+        if (!closed && !closing) {
             byte[] bytes = socket.read();
             if (bytes != null && bytes.length > 0) {
-                received(bytes);
+                receive(bytes);
                 return closed;
             }
         }
-        closed(closing == null ? Ending.CLIENT_DISMISSED : closing);
+        close(pendingEnding == null ? Ending.CLIENT_DISMISSED : pendingEnding);
         return true;
     }
 
-    /** Ends at once, whatever is under way: a half-written answer stays incomplete. */
-    void cut() {
-        closed(Ending.CLIENT_DISMISSED);
+    /** Closes the connection at once, even in the middle of an answer. */
+    void closeNow() {
+        close(Ending.CLIENT_DISMISSED);
     }
 
-    private void closed(Ending ending) {
+    private void close(Ending ending) {
         if (!closed) {
             closed = true;
             socket.close();
-            drop();
-            Exchange open = first;
-            first = null;
-            last = null;
-            clients.ended(this, ending, open);
+            discardInput();
+            Exchange unanswered = firstPending;
+            firstPending = null;
+            lastPending = null;
+            connections.onClosed(this, ending, unanswered);
         }
     }
 }
--- a/router/src/main/java/ironwind/net/ClientConnections.java
+++ b/router/src/main/java/ironwind/net/ClientConnections.java
@@ -32,146 +32,175 @@
 import jdk.net.ExtendedSocketOptions;
 
 /**
- * All connections of clients: what comes in on them becomes RPCs. Who is let in, kept and read is
- * decided in {@code ironwind.idle}; this carries it out.
+ * All connections of clients. Turns their commands into RPCs, and carries out the decisions of
+ * {@code ironwind.idle} about which connections are accepted, kept open and read.
  */
 final class ClientConnections implements Acceptor.Handler {
-    /** In milliseconds, as far as times can be reckoned with. */
-    private static final long LONGEST_MS = Long.MAX_VALUE / 1_000_000;
+    /**
+     * Longest time in a comment, in milliseconds, so that arithmetic in microseconds does not
+     * overflow.
+     */
+    private static final long MAX_TIME_MS = Long.MAX_VALUE / 1_000_000;
 
-    /** Times that are out are looked for so often, with one timer for all. */
-    private static final Span LOOK_EVERY = Span.ofMillis(100);
+    /** How often timeouts are checked, with one timer for all connections. */
+    private static final Span HOUSEKEEPING_INTERVAL = Span.ofMillis(100);
 
-    /** A step of the steady time is no longer: what took longer was a pause of the process. */
-    private static final Span LONGEST_STEP = Span.ofMillis(500);
+    /** Longest step of the monotonic time; a longer one is a pause of the process. */
+    private static final Span MAX_TIME_STEP = Span.ofMillis(500);
 
-    /** The loop looked at no socket for so long: told in the log. */
-    private static final Span STOOD_STILL = Span.ofMillis(200);
+    /** Lag of the event loop above which it is logged. */
+    private static final Span LAG_WARNING_THRESHOLD = Span.ofMillis(200);
 
-    /** Ended one after another before others are served again. */
-    private static final int ENDED_AT_ONCE = 256;
+    /** Connections closed at a time, before the others are served again. */
+    private static final int CLOSE_BATCH_SIZE = 256;
 
-    /** Those that spoke in the very moment in which they were to give way. */
-    private static final int MOST_WOKEN = 8;
+    /**
+     * Attempts to evict that may fail for one new connection, each because the client has just sent
+     * something.
+     */
+    private static final int MAX_FAILED_EVICTIONS = 8;
 
+    /** TCP keepalive probes without a reply after which a connection fails. */
     private static final int KEEPALIVE_PROBES = 3;
 
-    /** The settings tell how long clients wait; what is this many times as long is no such time. */
-    private static final double MOST_DEADLINES = 4;
+    /**
+     * The settings tell how long clients wait for a method. A deadline in a comment that is longer
+     * than this multiple of it is malformed.
+     */
+    private static final double MAX_DEADLINE_MULTIPLE = 4;
 
-    /** What an open RPC takes beside its statement, which is held as text and as facts. */
+    /** Memory of an open RPC beside its statement, which is held as text and as attributes. */
     private static final int OPEN_RPC_BYTES = 1_024;
 
     final IoEventLoop loop;
     final LoopSocket.Buffers buffers;
     private final Timers timers;
-    private final RouterConfig facts;
+    private final RouterConfig config;
 
-    /** Let in at one time, the parting among them: what descriptors allow. */
-    private final int most;
+    /** Connections that the file descriptors allow, including those that are closing. */
+    private final int maxConnections;
 
-    private final LogicTask logic;
+    private final LogicTask logicTask;
     private final Counters counters;
     private final Log log;
     private final Limits limits;
-    private final ConnectionManager keeper;
+    private final ConnectionManager connectionManager;
     private final MemoryBudget budget;
-    private final UnsentAnswers debtors;
-    private final ReadScheduler turns;
-    private final MonotonicTime steady = new MonotonicTime(LONGEST_STEP);
+    private final UnsentAnswers unsentAnswers;
+    private final ReadScheduler readScheduler;
+    private final MonotonicTime monotonicTime = new MonotonicTime(MAX_TIME_STEP);
     private final Show show;
 
-    /** Empty queries that wait until the router is ready. */
-    private final List<Exchange> askedWhetherReady = new ArrayList<>();
+    /** Empty queries, which are not answered until the router is ready. */
+    private final List<Exchange> readinessChecks = new ArrayList<>();
 
-    private LoopLag lag;
+    private LoopLag loopLag;
     private Acceptor acceptor;
-    private Warmup rehearsal;
-    private boolean turnDue;
+    private Warmup warmup;
+    private boolean turnScheduled;
     private boolean ready;
-    private boolean dismissing;
-    private Runnable whenGone = () -> {};
+    private boolean draining;
+    private Runnable onDrained = () -> {};
 
+    /**
+     * Creates an instance without any connection.
+     *
+     * @param maxConnections connections that the file descriptors allow
+     */
     ClientConnections(
             IoEventLoop loop,
             Timers timers,
             LoopSocket.Buffers buffers,
-            RouterConfig facts,
+            RouterConfig config,
             Limits limits,
             MemoryBudget budget,
-            int most,
-            LogicTask logic,
+            int maxConnections,
+            LogicTask logicTask,
             Counters counters,
             Log log) {
         this.loop = loop;
         this.buffers = buffers;
         this.timers = timers;
-        this.facts = facts;
+        this.config = config;
         this.limits = limits;
-        this.most = most;
-        this.logic = logic;
+        this.maxConnections = maxConnections;
+        this.logicTask = logicTask;
         this.counters = counters;
         this.log = log;
-        this.keeper = new ConnectionManager(limits);
+        this.connectionManager = new ConnectionManager(limits);
         this.budget = budget;
-        this.debtors = new UnsentAnswers(limits, budget);
-        this.turns = new ReadScheduler(limits, budget);
-        this.show = new Show(counters, keeper, budget, debtors, turns, steady, logic);
+        this.unsentAnswers = new UnsentAnswers(limits, budget);
+        this.readScheduler = new ReadScheduler(limits, budget);
+        this.show =
+                new Show(
+                        counters,
+                        connectionManager,
+                        budget,
+                        unsentAnswers,
+                        readScheduler,
+                        monotonicTime,
+                        logicTask);
     }
 
+    /**
+     * Starts to accept connections.
+     *
+     * @throws IOException if the address cannot be bound
+     */
     void listen() throws IOException {
-        lag = new LoopLag(LOOK_EVERY, Clock.read());
+        loopLag = new LoopLag(HOUSEKEEPING_INTERVAL, Clock.read());
         acceptor =
                 Acceptor.open(
                         loop,
-                        facts.listen(),
+                        config.listen(),
                         this,
                         timers,
-                        none ->
+                        e ->
                                 log.warn(
                                         "no_descriptor",
                                         "open",
-                                        keeper.connectionCount(),
+                                        connectionManager.connectionCount(),
                                         "cause",
-                                        none.getMessage()));
-        timers.every(LOOK_EVERY, this::look);
+                                        e.getMessage()));
+        timers.every(HOUSEKEEPING_INTERVAL, this::runHousekeeping);
     }
 
+    /** Returns the port that it listens on. */
     int port() {
         return acceptor.port();
     }
 
     /**
-     * Until the router is ready, and a little longer for what is on its way, it is its rehearsal's
-     * host, too.
+     * Starts a warm-up. Its requests are answered until the router is ready, and a little longer
+     * for those that are on their way.
      */
-    void rehearse(Warmup rehearsed) {
-        rehearsal = rehearsed;
-        rehearsed.start(new Address(facts.listen().ip(), port()));
+    void warmUp(Warmup newWarmup) {
+        warmup = newWarmup;
+        newWarmup.start(new Address(config.listen().ip(), port()));
     }
 
-    /** From now on empty queries are answered: the front may send clients. */
-    void ready() {
+    /** Answers empty queries from now on, which tells the load balancer to send clients. */
+    void setReady() {
         ready = true;
-        timers.after(limits.startupTimeout(), () -> rehearsal = null);
-        askedWhetherReady.forEach(exchange -> exchange.answer(Encoder.emptyQueryResponse()));
-        askedWhetherReady.clear();
+        timers.after(limits.startupTimeout(), () -> warmup = null);
+        readinessChecks.forEach(exchange -> exchange.answer(Encoder.emptyQueryResponse()));
+        readinessChecks.clear();
     }
 
-    /** Microseconds of the steady time. */
+    /** Returns the monotonic time in microseconds. */
     private long now() {
-        return steady.advance(System.nanoTime() / 1_000);
+        return monotonicTime.advance(System.nanoTime() / 1_000);
     }
 
-    // ---- the door
+    // ---- accepting
 
     @Override
     public Span acceptPause() {
-        if (keeper.connectionCount() >= most) {
+        if (connectionManager.connectionCount() >= maxConnections) {
             return null;
         }
         long now = now();
-        return keeper.mayAccept(now) ? Span.ZERO : keeper.nextAcceptIn(now);
+        return connectionManager.mayAccept(now) ? Span.ZERO : connectionManager.nextAcceptIn(now);
     }
 
     @Override
@@ -185,19 +214,20 @@
                 channel.setOption(StandardSocketOptions.SO_SNDBUF, (int) limits.sendBufferBytes());
             }
             if (limits.keepalive().us() > 0) {
-                keepAlive(channel);
+                enableKeepalive(channel);
             }
             address = ((InetSocketAddress) channel.getRemoteAddress()).getAddress();
-        } catch (IOException goneAgain) {
+        } catch (IOException e) {
+            // The client has closed the connection already.
             counters.add(Ending.CLIENT_LEFT);
             new LoopSocket(channel, buffers, null).close();
             return;
         }
-        makeRoom();
-        CloseReason refusal = keeper.refusalReason(address);
-        ClientConnection client = new ClientConnection(channel, this, lag.lagAt(Clock.read()));
-        keeper.add(client, address, now());
-        client.begin();
+        evictForNewConnection();
+        CloseReason refusal = connectionManager.refusalReason(address);
+        ClientConnection client = new ClientConnection(channel, this, loopLag.lagAt(Clock.read()));
+        connectionManager.add(client, address, now());
+        client.start();
         if (refusal != null) {
             log.warn(
                     "client_refused",
@@ -206,14 +236,14 @@
                     "address",
                     address,
                     "open",
-                    keeper.connectionCount());
-            client.turnAway(refusal, facts.deployment().maxRetryAfter());
-        } else if (dismissing) {
-            client.dismiss();
+                    connectionManager.connectionCount());
+            client.reject(refusal, config.deployment().maxRetryAfter());
+        } else if (draining) {
+            client.drain();
         }
     }
 
-    private void keepAlive(SocketChannel channel) throws IOException {
+    private void enableKeepalive(SocketChannel channel) throws IOException {
         int seconds = (int) Math.max(1, limits.keepalive().us() / 1_000_000);
         channel.setOption(StandardSocketOptions.SO_KEEPALIVE, true);
         channel.setOption(ExtendedSocketOptions.TCP_KEEPIDLE, seconds);
@@ -222,309 +252,350 @@
         channel.setOption(ExtendedSocketOptions.TCP_KEEPCOUNT, KEEPALIVE_PROBES);
     }
 
-    private void makeRoom() {
-        int woken = 0;
-        TrackedConnection least = keeper.evictionCandidateIfFull();
-        while (least != null && woken < MOST_WOKEN) {
-            woken += giveWay(least, CloseReason.GAVE_WAY) ? 0 : 1;
-            least = keeper.evictionCandidateIfFull();
+    private void evictForNewConnection() {
+        int failedEvictions = 0;
+        TrackedConnection candidate = connectionManager.evictionCandidateIfFull();
+        while (candidate != null && failedEvictions < MAX_FAILED_EVICTIONS) {
+            failedEvictions += evict(candidate, CloseReason.GAVE_WAY) ? 0 : 1;
+            candidate = connectionManager.evictionCandidateIfFull();
         }
     }
 
-    /** Ends one that carries nothing, unless its client has just spoken. */
-    private boolean giveWay(TrackedConnection peer, CloseReason reason) {
-        boolean parted = peer.state() == ConnectionState.CLOSING;
-        boolean ended = ((ClientConnection) peer).giveWay();
-        if (ended && !parted) {
-            keeper.recordClose(reason);
+    /**
+     * Closes a connection unless its client has just sent something, and returns whether it is
+     * closed.
+     */
+    private boolean evict(TrackedConnection connection, CloseReason reason) {
+        boolean wasClosing = connection.state() == ConnectionState.CLOSING;
+        boolean closed = ((ClientConnection) connection).evict();
+        if (closed && !wasClosing) {
+            connectionManager.recordClose(reason);
         }
-        return ended;
+        return closed;
     }
 
-    // ---- whose time is out
+    // ---- timeouts
 
-    private void look() {
-        Moment time = Clock.read();
-        Span stood = lag.lagAt(time);
-        if (stood.longerThan(STOOD_STILL)) {
-            log.warn("loop_stood", "ms", stood.us() / 1_000, "ready", ready);
+    private void runHousekeeping() {
+        Moment now = Clock.read();
+        Span lag = loopLag.lagAt(now);
+        if (lag.longerThan(LAG_WARNING_THRESHOLD)) {
+            log.warn("loop_stood", "ms", lag.us() / 1_000, "ready", ready);
         }
-        lag.recordTick(time);
-        endDue();
-        endDebtors(now());
-        logic.memoryFreed();
+        loopLag.recordTick(now);
+        closeExpired();
+        closeSlowReaders(now());
+        logicTask.memoryFreed();
         acceptor.tryResume();
-        if (turns.hasQueued()) {
-            callTurn();
+        if (readScheduler.hasQueued()) {
+            scheduleTurn();
         }
     }
 
-    private void endDue() {
+    private void closeExpired() {
         long now = now();
-        TrackedConnection due = keeper.nextExpired(now);
-        for (int i = 0; i < ENDED_AT_ONCE && due != null; i++) {
+        TrackedConnection due = connectionManager.nextExpired(now);
+        for (int i = 0; i < CLOSE_BATCH_SIZE && due != null; i++) {
             ClientConnection client = (ClientConnection) due;
-            CloseReason why = keeper.expiryReason(due);
+            CloseReason reason = connectionManager.expiryReason(due);
             if (due.state() == ConnectionState.CLOSING) {
-                client.cut();
-            } else if (why == CloseReason.TOO_SLOW) {
-                keeper.recordClose(why);
-                client.fail(new PgException(why.sqlState, why.message));
+                client.closeNow();
+            } else if (reason == CloseReason.TOO_SLOW) {
+                connectionManager.recordClose(reason);
+                client.fail(new PgException(reason.sqlState, reason.message));
             } else {
-                giveWay(due, why);
+                evict(due, reason);
             }
-            due = keeper.nextExpired(now);
+            due = connectionManager.nextExpired(now);
         }
         if (due != null) {
-            soon(this::endDue);
+            executeLater(this::closeExpired);
         }
     }
 
-    private void endDebtors(long now) {
-        for (TrackedConnection due = debtors.nextToClose(now);
+    private void closeSlowReaders(long now) {
+        for (TrackedConnection due = unsentAnswers.nextToClose(now);
                 due != null;
-                due = debtors.nextToClose(now)) {
-            CloseReason why = debtors.closeReason();
-            keeper.recordClose(why);
+                due = unsentAnswers.nextToClose(now)) {
+            CloseReason reason = unsentAnswers.closeReason();
+            connectionManager.recordClose(reason);
             log.warn(
                     "client_owed",
                     "reason",
-                    why,
+                    reason,
                     "bytes",
                     due.unsentBytes(),
                     "all",
                     budget.reserved(Use.UNSENT_ANSWERS));
-            ((ClientConnection) due).cut();
+            ((ClientConnection) due).closeNow();
         }
     }
 
-    // ---- turns to be read
+    // ---- read scheduling
 
-    boolean mayRead(ClientConnection client) {
-        boolean now = turns.readNowOrEnqueue(client, now(), logic.open());
-        if (!now) {
-            callTurn();
+    /**
+     * Returns whether a readable connection is to be read now. If not, it is queued and read in a
+     * later turn.
+     */
+    boolean readNowOrEnqueue(ClientConnection client) {
+        boolean readNow = readScheduler.readNowOrEnqueue(client, now(), logicTask.open());
+        if (!readNow) {
+            scheduleTurn();
         }
-        return now;
+        return readNow;
     }
 
-    boolean waits(ClientConnection client) {
-        return turns.isQueued(client);
+    /** Returns whether the connection is queued to be read. */
+    boolean isQueued(ClientConnection client) {
+        return readScheduler.isQueued(client);
     }
 
-    private void callTurn() {
-        if (!turnDue) {
-            turnDue = true;
-            timers.soon(this::turn);
+    private void scheduleTurn() {
+        if (!turnScheduled) {
+            turnScheduled = true;
+            timers.soon(this::runTurn);
         }
     }
 
-    /** The crowd's turn, after which all that is active is looked at before the next. */
-    private void turn() {
-        turnDue = false;
-        turns.beginTurn(now());
-        TrackedConnection next = turns.poll(now(), logic.open());
+    /** Reads queued connections for one turn; active ones are polled before the next. */
+    private void runTurn() {
+        turnScheduled = false;
+        readScheduler.beginTurn(now());
+        TrackedConnection next = readScheduler.poll(now(), logicTask.open());
         while (next != null) {
-            ((ClientConnection) next).turn();
-            next = turns.poll(now(), logic.open());
+            ((ClientConnection) next).readQueued();
+            next = readScheduler.poll(now(), logicTask.open());
         }
-        if (turns.hasQueued() && turns.hasEligible(now(), logic.open())) {
-            callTurn();
+        if (readScheduler.hasQueued() && readScheduler.hasEligible(now(), logicTask.open())) {
+            scheduleTurn();
         }
     }
 
-    void heard(ClientConnection client) {
-        turns.markRead(client);
+    /** Records that the input of a connection has been processed. */
+    void markRead(ClientConnection client) {
+        readScheduler.markRead(client);
     }
 
     // ---- memory
 
-    boolean lend(int bytes, boolean always) {
-        if (always || bytes <= 0) {
+    /**
+     * Reserves memory for input that is not processed yet, or releases it if {@code bytes} is
+     * negative.
+     *
+     * @param force whether the memory is reserved even above the limit
+     * @return whether the memory is reserved
+     */
+    boolean reserve(int bytes, boolean force) {
+        if (force || bytes <= 0) {
             budget.forceReserve(Use.PARTIAL_REQUESTS, bytes);
             return true;
         }
-        boolean lent = budget.tryReserve(Use.PARTIAL_REQUESTS, bytes);
-        if (!lent) {
-            keeper.recordClose(CloseReason.NO_MEMORY);
+        boolean reserved = budget.tryReserve(Use.PARTIAL_REQUESTS, bytes);
+        if (!reserved) {
+            connectionManager.recordClose(CloseReason.NO_MEMORY);
         }
-        return lent;
+        return reserved;
     }
 
-    void owes(ClientConnection client, int bytes) {
+    /** Records that the socket of a connection did not accept this many bytes. */
+    void addUnsent(ClientConnection client, int bytes) {
         long now = now();
-        debtors.add(client, bytes, now);
+        unsentAnswers.add(client, bytes, now);
         if (budget.reserved(Use.UNSENT_ANSWERS) > limits.maxUnsentTotal()) {
-            soon(() -> endDebtors(now()));
+            executeLater(() -> closeSlowReaders(now()));
         }
     }
 
-    void took(ClientConnection client, int bytes) {
-        debtors.drained(client, bytes, now());
+    /** Records that the socket of a connection accepted this many of the unsent bytes. */
+    void recordDrained(ClientConnection client, int bytes) {
+        unsentAnswers.drained(client, bytes, now());
     }
 
-    boolean isOwedMuch(ClientConnection client) {
-        return debtors.isOverClientLimit(client);
+    /** Returns whether so many bytes are unsent that the connection must not be read from. */
+    boolean isOverUnsentLimit(ClientConnection client) {
+        return unsentAnswers.isOverClientLimit(client);
     }
 
-    // ---- how they stand
+    // ---- connection state
 
-    void stands(ClientConnection client, ConnectionState standing) {
-        keeper.setState(client, standing, now());
+    /** Records the state of a connection, whose timeout starts now. */
+    void setState(ClientConnection client, ConnectionState state) {
+        connectionManager.setState(client, state, now());
     }
 
-    /** An answer has gone out. */
-    void answered(ClientConnection client, Exchange exchange) {
-        if (turns.hasQueued()) {
-            callTurn();
+    /**
+     * Releases the memory of an answered command. If its customer is over the limit of connections,
+     * evicts another one that is idle.
+     */
+    void onAnswered(ClientConnection client, Exchange exchange) {
+        if (readScheduler.hasQueued()) {
+            scheduleTurn();
         }
         budget.release(Use.OPEN_RPCS, exchange.reservedBytes);
         exchange.reservedBytes = 0;
         if (exchange.rpc != null) {
-            TrackedConnection over = keeper.recordAnswer(client, exchange.rpc.customer, now());
-            if (over != null && over != client) {
-                soon(() -> giveWay(over, CloseReason.CUSTOMER_FULL));
+            TrackedConnection overLimit =
+                    connectionManager.recordAnswer(client, exchange.rpc.customer, now());
+            if (overLimit != null && overLimit != client) {
+                executeLater(() -> evict(overLimit, CloseReason.CUSTOMER_FULL));
             }
         }
     }
 
-    void soon(Runnable action) {
+    /** Runs an action on the event loop after the current one. */
+    void executeLater(Runnable action) {
         timers.soon(action);
     }
 
-    void malformed(PgException fault) {
+    /** Counts and logs malformed input of a client. */
+    void recordMalformed(PgException e) {
         counters.add(Count.MALFORMED);
-        log.warn("client_malformed", "code", fault.sqlState, "what", fault.getMessage());
+        log.warn("client_malformed", "code", e.sqlState, "what", e.getMessage());
     }
 
-    void ended(ClientConnection client, Ending ending, Exchange unanswered) {
+    /**
+     * Removes a closed connection.
+     *
+     * @param unanswered its first unanswered command, linked to the others; null if there is none
+     */
+    void onClosed(ClientConnection client, Ending ending, Exchange unanswered) {
         counters.add(ending);
-        debtors.remove(client);
-        keeper.remove(client);
+        unsentAnswers.remove(client);
+        connectionManager.remove(client);
         for (Exchange exchange = unanswered; exchange != null; exchange = exchange.next) {
             budget.release(Use.OPEN_RPCS, exchange.reservedBytes);
             exchange.reservedBytes = 0;
-            logic.left(exchange);
+            logicTask.left(exchange);
         }
         acceptor.tryResume();
-        if (dismissing && keeper.connectionCount() == 0) {
-            whenGone.run();
+        if (draining && connectionManager.connectionCount() == 0) {
+            onDrained.run();
         }
     }
 
     // ---- commands
 
-    /** Takes one command; a {@link PgException} tells what is wrong with it. */
-    void command(ClientConnection client, String sql) {
+    /**
+     * Executes one command.
+     *
+     * @throws PgException if the command is malformed
+     */
+    void execute(ClientConnection client, String sql) {
         Statement statement = Statement.parse(sql);
         if (!statement.attributes().isEmpty()) {
-            rpc(client, statement);
+            startRpc(client, statement);
         } else if (statement.text().isEmpty()) {
-            Exchange exchange = client.add(null, 0);
+            Exchange exchange = client.addExchange(null, 0);
             if (ready) {
                 exchange.answer(Encoder.emptyQueryResponse());
             } else {
-                askedWhetherReady.add(exchange);
+                readinessChecks.add(exchange);
             }
         } else {
-            byte[] table = show.answerTo(statement.text());
-            if (table == null) {
+            byte[] answer = show.answerTo(statement.text());
+            if (answer == null) {
                 throw new PgException(
                         PgException.FEATURE_NOT_SUPPORTED,
-                        "a statement must say what it is in a comment before it");
+                        "a statement must begin with a comment that describes its RPC");
             }
-            client.add(null, 0).answer(table);
+            client.addExchange(null, 0).answer(answer);
         }
     }
 
-    private void rpc(ClientConnection client, Statement statement) {
-        byte[] rehearsed = rehearsal == null ? null : rehearsal.answerTo(statement);
-        if (rehearsed != null) {
-            client.add(statement, 0).answer(rehearsed);
+    private void startRpc(ClientConnection client, Statement statement) {
+        byte[] warmupAnswer = warmup == null ? null : warmup.answerTo(statement);
+        if (warmupAnswer != null) {
+            client.addExchange(statement, 0).answer(warmupAnswer);
             return;
         }
-        NameIndex names = facts.names();
-        Method method = known(names.methods().get(statement.required("c")), "c");
+        NameIndex names = config.names();
+        Method method = requireKnown(names.methods().get(statement.required("c")), "c");
         Customer customer =
                 names.customers().isEmpty()
                         ? null
-                        : known(names.customers().get(statement.required("t")), "t");
-        Span waits = Span.ofMillis(statement.requiredLong("d", 1, LONGEST_MS));
-        if (waits.longerThan(method.deadline().times(MOST_DEADLINES))) {
+                        : requireKnown(names.customers().get(statement.required("t")), "t");
+        Span deadline = Span.ofMillis(statement.requiredLong("d", 1, MAX_TIME_MS));
+        if (deadline.longerThan(method.deadline().times(MAX_DEADLINE_MULTIPLE))) {
             throw new PgException(
                     PgException.SYNTAX_ERROR,
-                    "the comment's d is far beyond its method's deadline: " + waits.us());
+                    "the comment's d is far above the deadline of its method: "
+                            + deadline.us()
+                            + " us");
         }
         if (method.idempotency() == Idempotency.TOKENED) {
             statement.required("k");
         }
-        long after =
+        long afterMs =
                 statement.attributes().containsKey("after")
-                        ? statement.requiredLong("after", 0, LONGEST_MS)
+                        ? statement.requiredLong("after", 0, MAX_TIME_MS)
                         : 0;
         int bytes = OPEN_RPC_BYTES + 2 * statement.text().length();
-        Span waited = turns.queueTime(client, now());
-        Span lay = waited.longer(client.lay(lag.lagAt(Clock.read())));
-        LogicTask.Asked asked =
+        Span queueTime = readScheduler.queueTime(client, now());
+        Span inputDelay = queueTime.longer(client.takeInputDelay(loopLag.lagAt(Clock.read())));
+        LogicTask.Asked request =
                 new LogicTask.Asked(
                         statement.required("id"),
                         method,
                         customer,
                         (int) statement.requiredLong("cluster", 0, Integer.MAX_VALUE),
                         statement.rowKey(),
-                        waits,
-                        after,
+                        deadline,
+                        afterMs,
                         "1".equals(statement.attributes().get("r")),
-                        lay,
-                        turns.shouldPushBack(waited, bytes));
-        logic.check(asked);
+                        inputDelay,
+                        readScheduler.shouldPushBack(queueTime, bytes));
+        logicTask.check(request);
         budget.forceReserve(Use.OPEN_RPCS, bytes);
-        logic.arrived(client.add(statement, bytes), asked);
+        logicTask.arrived(client.addExchange(statement, bytes), request);
     }
 
-    private static <T> T known(T value, String fact) {
+    private static <T> T requireKnown(T value, String key) {
         if (value == null) {
             throw new PgException(
-                    PgException.SYNTAX_ERROR, "the comment's " + fact + " names nothing known");
+                    PgException.SYNTAX_ERROR, "the comment's " + key + " has an unknown value");
         }
         return value;
     }
 
-    // ---- the end
+    // ---- shutdown
 
-    /** Asks all clients away between their requests; runs the action once none is left. */
-    void dismissAll(Runnable gone) {
-        dismissing = true;
-        whenGone = gone;
-        dismissSome();
-        if (keeper.connectionCount() == 0) {
-            whenGone.run();
+    /** Closes each connection between two requests, and runs the action once none is left. */
+    void drain(Runnable action) {
+        draining = true;
+        onDrained = action;
+        drainBatch();
+        if (connectionManager.connectionCount() == 0) {
+            onDrained.run();
         }
     }
 
     /**
-     * Some at a time, so that those who still ask are served meanwhile; the busy end with their
-     * last answer.
+     * Closes a batch of connections, so that requests of others are served before the next batch.
+     * Busy connections close after their last answer.
      */
-    private void dismissSome() {
-        TrackedConnection next = keeper.evictionCandidate();
-        for (int i = 0; i < ENDED_AT_ONCE && next != null && keeper.connectionCount() > 0; i++) {
+    private void drainBatch() {
+        TrackedConnection next = connectionManager.evictionCandidate();
+        for (int i = 0;
+                i < CLOSE_BATCH_SIZE && next != null && connectionManager.connectionCount() > 0;
+                i++) {
             if (next.state() == ConnectionState.CLOSING) {
-                ((ClientConnection) next).cut();
+                ((ClientConnection) next).closeNow();
             } else {
-                ((ClientConnection) next).dismiss();
+                ((ClientConnection) next).drain();
             }
-            next = keeper.evictionCandidate();
+            next = connectionManager.evictionCandidate();
         }
         if (next != null) {
-            soon(this::dismissSome);
+            executeLater(this::drainBatch);
         }
     }
 
-    boolean isDismissing() {
-        return dismissing;
+    /** Returns whether {@link #drain} was called. */
+    boolean isDraining() {
+        return draining;
     }
 
+    /** Stops accepting connections. */
     void stop() {
         if (acceptor != null) {
             acceptor.close();
--- a/router/src/main/java/ironwind/net/Exchange.java
+++ b/router/src/main/java/ironwind/net/Exchange.java
@@ -3,32 +3,40 @@
 import ironwind.model.Rpc;
 import ironwind.pg.Statement;
 
-/** One command of a client and the answer owed for it. */
+/** A command of a client and its answer, in a list of the connection's unanswered commands. */
 final class Exchange {
-    /** What was asked; null where no RPC came of it. */
+    /** The statement of an RPC, even of one of the warm-up; null for any other command. */
     final Statement statement;
 
     private final Runnable onAnswered;
+
+    /** The RPC that the command started; null before it is created and if there is none. */
     Rpc rpc;
 
-    /** Runs out where an answer is owed and does not come. */
+    /** Fires if the RPC is not answered in time; null for any other command. */
     Timers.Timer watchdog;
 
-    /** The command that came after it on its connection. */
+    /** The next command of the same connection; null if there is none. */
     Exchange next;
 
-    /** Bytes lent for it until it is answered. */
+    /** Bytes of the memory budget that are reserved until it is answered. */
     int reservedBytes;
 
     private boolean answered;
     private byte[][] answer;
 
+    /**
+     * Creates an exchange without an answer.
+     *
+     * @param statement null if the command is not an RPC
+     * @param onAnswered runs once, when the answer is set
+     */
     Exchange(Statement statement, Runnable onAnswered) {
         this.statement = statement;
         this.onAnswered = onAnswered;
     }
 
-    /** Takes the one answer; true if it is the first. */
+    /** Sets the answer unless there is one already, and returns whether it was set. */
     boolean answer(byte[]... parts) {
         if (answered) {
             return false;
@@ -42,11 +50,12 @@
         return true;
     }
 
+    /** Returns whether the answer was set, even if it has been taken since. */
     boolean isAnswered() {
         return answered;
     }
 
-    /** Hands the answer over, and keeps it no longer. */
+    /** Returns the answer and drops its own reference to it. */
     byte[][] takeAnswer() {
         byte[][] parts = answer;
         answer = null;
--- a/router/src/main/java/ironwind/net/LoopLag.java
+++ b/router/src/main/java/ironwind/net/LoopLag.java
@@ -4,28 +4,35 @@
 import ironwind.model.Span;
 
 /**
- * How long what is read from a socket now may have lain there, as far as the loop itself knows: it
- * was to beat at a time, and has not yet, so it has looked at no socket since. A client counts from
- * when it wrote; guards against RPCs that came while the loop stood still (a start, a collection, a
- * core that others had) and are answered when their client's time is over. Harm: one that came at
- * the end of such a time is given less of its own.
+ * Estimates how long data that is read from a socket now may have waited there because the event
+ * loop was blocked. The loop ticks at an interval; while a tick is overdue, it has polled no socket
+ * since that tick was due. A client's deadline counts from when it wrote the request: without this,
+ * RPCs that arrive while the loop is blocked (at start-up, by a garbage collection or by other
+ * processes on the same core) would be answered after their client's deadline. The estimate is an
+ * upper bound, so an RPC that arrives at the end of such a pause gets less time than it has left.
  */
 final class LoopLag {
-    private final Span every;
-    private Moment due;
+    private final Span interval;
+    private Moment nextTickDue;
 
-    /** {@code since}: nothing can have come before. */
-    LoopLag(Span every, Moment since) {
-        this.every = every;
-        this.due = since;
+    /**
+     * Creates an estimate.
+     *
+     * @param interval the time between two ticks
+     * @param start when sockets were opened, so that no data can have waited before
+     */
+    LoopLag(Span interval, Moment start) {
+        this.interval = interval;
+        this.nextTickDue = start;
     }
 
-    /** All sockets have been looked at since the beat was due. */
+    /** Records a tick: all sockets have been polled since it was due. */
     void recordTick(Moment now) {
-        due = now.plus(every);
+        nextTickDue = now.plus(interval);
     }
 
+    /** Returns how long the next tick is overdue; zero if it is not. */
     Span lagAt(Moment now) {
-        return now.after(due) ? now.since(due) : Span.ZERO;
+        return now.after(nextTickDue) ? now.since(nextTickDue) : Span.ZERO;
     }
 }
--- a/router/src/main/java/ironwind/net/LoopSocket.java
+++ b/router/src/main/java/ironwind/net/LoopSocket.java
@@ -20,31 +20,34 @@
 import java.util.Deque;
 
 /**
- * One socket of a client or to a host on the loop that serves: the system's channel and nothing
- * above it. What is read and written passes through buffers of the loop; one of its own it has only
- * while the peer does not take what it is owed.
+ * Socket of a client or host connection on the event loop: a non-blocking channel without a Netty
+ * pipeline. Reads and writes go through buffers that all sockets share; a socket has memory of its
+ * own only while the operating system does not accept what is written.
  */
 final class LoopSocket extends NioSelectableChannelIoHandle<SocketChannel> {
-    /** Of one turn, what is read from one client at most. */
+    /** Size of the shared buffers, and so the most that one read returns. */
     private static final int BUFFER_BYTES = 64 * 1024;
 
-    private static final int CHUNK_BYTES = Buffers.PAGE_BYTES << Buffers.PAGES_AS_POWER;
+    private static final int CHUNK_BYTES = Buffers.PAGE_BYTES << Buffers.CHUNK_ORDER;
 
-    /** What happens on it. */
+    /** Receives the events of a socket, on the event loop. */
     interface Handler {
-        /** What {@link #connect} began has come up. */
+        /** Called when the connection that {@link #connect} began is established. */
         default void onConnected() {}
 
-        /** What {@link #connect} began never comes up. */
+        /** Called when the connection that {@link #connect} began cannot be established. */
         default void onConnectFailed(IOException cause) {}
 
-        /** Something has come, or the peer is gone: time to {@link #read}. */
+        /** Called when data has arrived or the peer has closed; {@link #read} tells which. */
         void onReadable();
 
-        /** The system took so many bytes of what was left over. */
+        /** Called when this many bytes of the unsent data were written. */
         void onWritten(int bytes);
 
-        /** It is of no use any more. */
+        /**
+         * Called when the socket cannot be registered or a write fails, possibly from within {@link
+         * #write}.
+         */
         void onFailure();
     }
 
@@ -54,40 +57,43 @@
     private IoRegistration registration;
     private int interest;
 
-    /** What the system has not taken; null where there is nothing. */
-    private Deque<ByteBuf> left;
+    /** Data that the operating system has not accepted yet; null if there is none. */
+    private Deque<ByteBuf> unsent;
 
     /**
-     * Buffers of the loop: two that are lent for the length of one call, and a pool beside the heap
-     * for what the system does not take. On the heap it would grow old there, and each collection
-     * of what is old stops everyone.
+     * Buffers that all sockets of a loop share: one for reads and one for writes, each used only
+     * within one call, and a pool of direct memory for unsent data. On the heap, unsent data would
+     * reach the old generation, whose collections stop the whole process.
      */
     static final class Buffers {
         private static final int PAGE_BYTES = 8_192;
 
-        /** A chunk of the pool is 256 KiB: some answers of the largest size. */
-        private static final int PAGES_AS_POWER = 5;
+        /** A chunk of the pool has 256 KiB, enough for a few answers of the largest size. */
+        private static final int CHUNK_ORDER = 5;
 
         /**
-         * Of the JVM's direct memory: asking for more than there is would make it collect and wait.
+         * Fraction of the JVM's direct memory that the pool may use. An allocation above the JVM's
+         * limit would wait for a garbage collection.
          */
-        private static final double POOL_PART = 0.5;
+        private static final double POOL_FRACTION = 0.5;
 
-        private final ByteBuffer in = ByteBuffer.allocateDirect(BUFFER_BYTES);
-        private final ByteBuffer out = ByteBuffer.allocateDirect(BUFFER_BYTES);
+        private final ByteBuffer readBuffer = ByteBuffer.allocateDirect(BUFFER_BYTES);
+        private final ByteBuffer writeBuffer = ByteBuffer.allocateDirect(BUFFER_BYTES);
         private final PooledByteBufAllocator pool =
-                new PooledByteBufAllocator(true, 0, 1, PAGE_BYTES, PAGES_AS_POWER, 0, 0, false);
-        private final long most = (long) (POOL_PART * PlatformDependent.maxDirectMemory());
+                new PooledByteBufAllocator(true, 0, 1, PAGE_BYTES, CHUNK_ORDER, 0, 0, false);
+        private final long maxPooledBytes =
+                (long) (POOL_FRACTION * PlatformDependent.maxDirectMemory());
 
-        /** So many bytes, from the pool or, where it has no more, from the heap. */
-        private ByteBuf lend(int bytes) {
-            long pooled = pool.metric().usedDirectMemory();
-            return pooled + bytes + CHUNK_BYTES > most
+        /** Allocates a buffer from the pool, or from the heap if the pool is exhausted. */
+        private ByteBuf allocate(int bytes) {
+            long pooledBytes = pool.metric().usedDirectMemory();
+            return pooledBytes + bytes + CHUNK_BYTES > maxPooledBytes
                     ? Unpooled.buffer(bytes, bytes)
                     : pool.directBuffer(bytes, bytes);
         }
     }
 
+    /** Creates a socket for a connected channel; {@link #register} adds it to the event loop. */
     LoopSocket(SocketChannel channel, Buffers buffers, Handler handler) {
         super(channel);
         this.channel = channel;
@@ -96,66 +102,68 @@
     }
 
     /**
-     * Begins to connect, on the loop only; the owner hears of the end of it, later. An {@link
-     * IOException} tells that the system has no descriptor.
+     * Starts to connect. Must be called on the event loop. The handler is called later with the
+     * outcome.
+     *
+     * @throws IOException if no file descriptor is free
      */
-    static LoopSocket connect(IoEventLoop loop, Address to, Buffers buffers, Handler handler)
+    static LoopSocket connect(IoEventLoop loop, Address address, Buffers buffers, Handler handler)
             throws IOException {
         SocketChannel channel = SocketChannel.open();
         LoopSocket socket = new LoopSocket(channel, buffers, handler);
         try {
             channel.configureBlocking(false);
             channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
-            if (channel.connect(new InetSocketAddress(to.ip(), to.port()))) {
+            if (channel.connect(new InetSocketAddress(address.ip(), address.port()))) {
                 loop.execute(handler::onConnected);
             } else {
                 socket.interest = SelectionKey.OP_CONNECT;
             }
             socket.register(loop);
-        } catch (IOException refused) {
-            loop.execute(() -> handler.onConnectFailed(refused));
+        } catch (IOException e) {
+            loop.execute(() -> handler.onConnectFailed(e));
         }
         return socket;
     }
 
-    private void connected(SocketChannel ready) {
-        want(interest & ~SelectionKey.OP_CONNECT);
+    private void finishConnect(SocketChannel ready) {
+        setInterest(interest & ~SelectionKey.OP_CONNECT);
         try {
             ready.finishConnect();
-        } catch (IOException refused) {
-            handler.onConnectFailed(refused);
+        } catch (IOException e) {
+            handler.onConnectFailed(e);
             return;
         }
         handler.onConnected();
     }
 
-    /** From now on it is looked at; on the loop only. */
+    /** Registers the socket with the event loop. Must be called on the loop. */
     void register(IoEventLoop loop) {
         loop.register(this)
                 .addListener(
                         result -> {
                             if (result.isSuccess()) {
                                 registration = (IoRegistration) result.getNow();
-                                apply();
+                                updateInterest();
                             } else {
                                 handler.onFailure();
                             }
                         });
     }
 
-    /** Whether it tells what comes. */
+    /** Sets whether the handler is called when the socket is readable. */
     void setReadInterest(boolean reading) {
-        want(reading ? interest | SelectionKey.OP_READ : interest & ~SelectionKey.OP_READ);
+        setInterest(reading ? interest | SelectionKey.OP_READ : interest & ~SelectionKey.OP_READ);
     }
 
-    private void want(int ops) {
+    private void setInterest(int ops) {
         if (ops != interest) {
             interest = ops;
-            apply();
+            updateInterest();
         }
     }
 
-    private void apply() {
+    private void updateInterest() {
         if (registration != null && registration.isValid()) {
             registration.submit(NioIoOps.valueOf(interest));
         }
@@ -166,11 +174,12 @@
         int ops;
         try {
             ops = key.readyOps();
-        } catch (CancelledKeyException closedMeanwhile) {
+        } catch (CancelledKeyException e) {
+            // The socket was closed in the meantime.
             return;
         }
         if ((ops & SelectionKey.OP_CONNECT) != 0) {
-            connected(ready);
+            finishConnect(ready);
             return;
         }
         if ((ops & SelectionKey.OP_WRITE) != 0) {
@@ -181,111 +190,118 @@
         }
     }
 
-    /** What has come, up to a buffer full; empty where nothing has, null where the peer is gone. */
+    /**
+     * Reads up to one buffer of data. Returns an empty array if none has arrived, and null if the
+     * peer has closed or the connection has failed.
+     */
     byte[] read() {
-        ByteBuffer in = buffers.in.clear();
+        ByteBuffer buffer = buffers.readBuffer.clear();
         try {
-            if (channel.read(in) < 0) {
+            if (channel.read(buffer) < 0) {
                 return null;
             }
-        } catch (IOException reset) {
+        } catch (IOException e) {
             return null;
         }
-        byte[] bytes = new byte[in.flip().remaining()];
-        in.get(bytes);
+        byte[] bytes = new byte[buffer.flip().remaining()];
+        buffer.get(bytes);
         return bytes;
     }
 
-    /** Writes what the system takes, and keeps the rest; tells how many bytes that is. */
+    /**
+     * Writes what the operating system accepts and keeps the rest as unsent data.
+     *
+     * @return number of bytes kept; zero if the socket is closed
+     */
     int write(byte[]... parts) {
-        int all = 0;
+        int total = 0;
         for (byte[] part : parts) {
-            all += part.length;
+            total += part.length;
         }
-        // What waits goes first: the system said that it takes no more.
-        int written = left == null ? writeAtOnce(parts) : 0;
-        if (written < all && channel.isOpen()) {
-            keep(all - written, written, parts);
+        // Unsent data goes first, and the operating system has not accepted that yet.
+        int written = unsent == null ? writeNow(parts) : 0;
+        if (written < total && channel.isOpen()) {
+            enqueue(total - written, written, parts);
         }
-        return channel.isOpen() ? all - written : 0;
+        return channel.isOpen() ? total - written : 0;
     }
 
-    private int writeAtOnce(byte[]... parts) {
-        int sum = 0;
-        ByteBuffer out = buffers.out.clear();
+    private int writeNow(byte[]... parts) {
+        int written = 0;
+        ByteBuffer buffer = buffers.writeBuffer.clear();
         try {
             for (byte[] part : parts) {
-                int from = 0;
-                while (from < part.length) {
-                    if (!out.hasRemaining()) {
-                        sum += channel.write(out.flip());
-                        if (out.hasRemaining()) {
-                            return sum;
+                int start = 0;
+                while (start < part.length) {
+                    if (!buffer.hasRemaining()) {
+                        written += channel.write(buffer.flip());
+                        if (buffer.hasRemaining()) {
+                            return written;
                         }
-                        out.clear();
+                        buffer.clear();
                     }
-                    int count = Math.min(part.length - from, out.remaining());
-                    out.put(part, from, count);
-                    from += count;
+                    int count = Math.min(part.length - start, buffer.remaining());
+                    buffer.put(part, start, count);
+                    start += count;
                 }
             }
-            return sum + channel.write(out.flip());
-        } catch (IOException reset) {
+            return written + channel.write(buffer.flip());
+        } catch (IOException e) {
             handler.onFailure();
-            return sum;
+            return written;
         }
     }
 
-    /** Keeps the last so many bytes of the parts, copied: what they came in is given up. */
-    private void keep(int bytes, int skipped, byte[]... parts) {
-        ByteBuf rest = buffers.lend(bytes);
-        int skip = skipped;
+    /** Appends a copy of the parts' last bytes to the unsent data; the parts are not kept. */
+    private void enqueue(int bytes, int offset, byte[]... parts) {
+        ByteBuf rest = buffers.allocate(bytes);
+        int skip = offset;
         for (byte[] part : parts) {
-            int from = Math.min(skip, part.length);
-            rest.writeBytes(part, from, part.length - from);
-            skip -= from;
+            int start = Math.min(skip, part.length);
+            rest.writeBytes(part, start, part.length - start);
+            skip -= start;
         }
-        left = left == null ? new ArrayDeque<>(2) : left;
-        left.add(rest);
-        want(interest | SelectionKey.OP_WRITE);
+        unsent = unsent == null ? new ArrayDeque<>(2) : unsent;
+        unsent.add(rest);
+        setInterest(interest | SelectionKey.OP_WRITE);
     }
 
-    /** Writes what was kept, as far as the system takes it; tells how much that is. */
+    /** Writes unsent data as far as it is accepted, and returns the number of bytes written. */
     private int flush() {
-        int sum = 0;
+        int written = 0;
         try {
-            while (left != null) {
-                ByteBuf first = left.peek();
+            while (unsent != null) {
+                ByteBuf first = unsent.peek();
                 int count = first.readBytes(channel, first.readableBytes());
-                sum += count;
+                written += count;
                 if (first.isReadable()) {
                     break;
                 }
-                left.poll().release();
-                left = left.isEmpty() ? null : left;
+                unsent.poll().release();
+                unsent = unsent.isEmpty() ? null : unsent;
             }
-        } catch (IOException reset) {
+        } catch (IOException e) {
             handler.onFailure();
         }
-        if (left == null) {
-            want(interest & ~SelectionKey.OP_WRITE);
+        if (unsent == null) {
+            setInterest(interest & ~SelectionKey.OP_WRITE);
         }
-        return sum;
+        return written;
     }
 
     @Override
     public void close() {
-        if (left != null) {
-            left.forEach(ByteBuf::release);
-            left = null;
+        if (unsent != null) {
+            unsent.forEach(ByteBuf::release);
+            unsent = null;
         }
         if (registration != null) {
             registration.cancel();
         }
         try {
             channel.close();
-        } catch (IOException gone) {
-            // it is closed all the same
+        } catch (IOException e) {
+            // The channel is closed nevertheless.
         }
     }
 }
--- a/router/src/main/java/ironwind/net/Router.java
+++ b/router/src/main/java/ironwind/net/Router.java
@@ -19,78 +19,88 @@
 import java.io.IOException;
 import java.util.function.Function;
 
-/** One real router, for use in a program of one's own: start it, ask its clients away, stop it. */
+/**
+ * A router. Its life cycle is {@link #start}, then {@link #drain}, then {@link #stop}; all three
+ * return at once, and their futures tell when they are done.
+ */
 public final class Router {
     /**
-     * PROTOCOL: SIGKILL comes no sooner after SIGTERM than the longest deadline, up to 3 s, and 0.7
-     * s.
+     * By PROTOCOL, SIGKILL follows SIGTERM no sooner than after the longest deadline, counted up to
+     * this value, plus {@link #KILL_GRACE_MS}.
      */
-    private static final long MOST_DEADLINE_MS = 3_000;
+    private static final long MAX_DEADLINE_MS = 3_000;
 
-    private static final long KILLED_AFTER_MS = 700;
+    private static final long KILL_GRACE_MS = 700;
 
-    /** Of that time, what answers may need to be written. */
-    private static final long LAST_WRITES_MS = 300;
+    /** Part of that time that is left for writing the last answers. */
+    private static final long FINAL_WRITE_MS = 300;
 
     /**
-     * The part of that time in which clients that know the router are served on, while others take
+     * Fraction of that time in which connected clients are still served, while other routers take
      * over.
      */
-    private static final double SERVING_PART = 0.5;
+    private static final double SERVING_FRACTION = 0.5;
 
     /**
-     * How long the first list is waited for before the router says it is ready with what it knew.
+     * How long to wait for the first host list. After that the router becomes ready with the list
+     * of its start facts.
      */
-    private static final long FIRST_LIST_MS = 2_000;
+    private static final long FIRST_LIST_TIMEOUT_MS = 2_000;
 
-    private final RouterConfig facts;
+    private final RouterConfig config;
     private final Log log;
     private final Function<Outbound, Inbound> module;
     private final Counters counters = new Counters();
     private final Limits limits;
     private final Vertx vertx;
     private final Context context;
-    private boolean rehearses = true;
-    private ClientConnections clients;
-    private HostConnections hosts;
+    private boolean warmupEnabled = true;
+    private ClientConnections clientConnections;
+    private HostConnections hostConnections;
     private Discovery discovery;
-    private LogicTask logic;
+    private LogicTask logicTask;
 
-    public Router(RouterConfig facts, Log log) {
-        this(facts, OperatorSettings.defaults(facts), log);
+    /** Creates a router with the default settings. */
+    public Router(RouterConfig config, Log log) {
+        this(config, OperatorSettings.defaults(config), log);
     }
 
-    /** With what the installation's own file says. */
-    public Router(RouterConfig facts, OperatorSettings installation, Log log) {
+    /** Creates a router with the operator's settings. */
+    public Router(RouterConfig config, OperatorSettings settings, Log log) {
         this(
-                facts,
-                installation,
+                config,
+                settings,
                 log,
-                outbound -> new Logic(facts.deployment(), facts.seed(), outbound));
+                outbound -> new Logic(config.deployment(), config.seed(), outbound));
     }
 
-    Router(RouterConfig facts, Log log, Function<Outbound, Inbound> module) {
-        this(facts, OperatorSettings.defaults(facts), log, module);
+    /** Creates a router with the default settings and another decision module. */
+    Router(RouterConfig config, Log log, Function<Outbound, Inbound> module) {
+        this(config, OperatorSettings.defaults(config), log, module);
     }
 
-    /** With another module in the place of {@link Logic}. */
+    /**
+     * Creates a router with the operator's settings and another decision module.
+     *
+     * @param module creates the decision module, which is {@link Logic} otherwise
+     */
     Router(
-            RouterConfig facts,
-            OperatorSettings installation,
+            RouterConfig config,
+            OperatorSettings settings,
             Log log,
             Function<Outbound, Inbound> module) {
-        this.facts = facts;
-        // More than there are descriptors for would never meet their limit, and nobody would give
-        // way to a newcomer.
-        int most = facts.clientLimits().maxConnections();
-        this.limits = installation.clientLimits().cappedAt(most);
-        if (installation.clientLimits().maxConnections() > most) {
+        this.config = config;
+        // A limit above the number of descriptors would never be reached, and so no idle connection
+        // would be evicted for a new one.
+        int maxConnections = config.clientLimits().maxConnections();
+        this.limits = settings.clientLimits().cappedAt(maxConnections);
+        if (settings.clientLimits().maxConnections() > maxConnections) {
             log.warn(
                     "connections_cut",
                     "asked",
-                    installation.clientLimits().maxConnections(),
+                    settings.clientLimits().maxConnections(),
                     "most",
-                    most);
+                    maxConnections);
         }
         this.module = module;
         this.log = log;
@@ -107,173 +117,191 @@
         this.context = vertx.getOrCreateContext();
     }
 
-    /** Begins to listen; the future fails where the address can't be had. */
+    /**
+     * Starts the router. The future completes when it listens, which is before it is ready, and
+     * fails if the address cannot be bound.
+     */
     public Future<Void> start() {
         Promise<Void> started = Promise.promise();
-        context.exceptionHandler(this::uncaught);
-        vertx.exceptionHandler(this::uncaught);
+        context.exceptionHandler(this::onUncaught);
+        vertx.exceptionHandler(this::onUncaught);
         context.runOnContext(
-                nothing -> {
+                ignored -> {
                     MemoryBudget budget = new MemoryBudget(limits.memoryBytes());
-                    Timers timers = new Timers(loop(), this::uncaught);
+                    Timers timers = new Timers(loop(), this::onUncaught);
                     LoopSocket.Buffers buffers = new LoopSocket.Buffers();
                     IoEventLoop loop = loop();
-                    hosts =
+                    hostConnections =
                             new HostConnections(
                                     loop,
                                     timers,
                                     buffers,
-                                    facts,
+                                    config,
                                     budget,
-                                    facts.maxHostConnections(),
+                                    config.maxHostConnections(),
                                     counters,
                                     log);
-                    logic = new LogicTask(timers, facts, module, hosts, counters, log);
-                    discovery = new Discovery(vertx, facts, logic, hosts, counters, log);
-                    clients =
+                    logicTask =
+                            new LogicTask(timers, config, module, hostConnections, counters, log);
+                    discovery =
+                            new Discovery(vertx, config, logicTask, hostConnections, counters, log);
+                    clientConnections =
                             new ClientConnections(
                                     loop,
                                     timers,
                                     buffers,
-                                    facts,
+                                    config,
                                     limits,
                                     budget,
-                                    facts.maxClientConnections(),
-                                    logic,
+                                    config.maxClientConnections(),
+                                    logicTask,
                                     counters,
                                     log);
-                    Promise<Void> heard = Promise.promise();
-                    // Before the door opens: what a client writes to a loop that is still loading
-                    // code would lie there.
-                    discovery.start(facts.initialHostList(), heard::tryComplete);
-                    vertx.setTimer(FIRST_LIST_MS, timer -> heard.tryComplete());
-                    context.runOnContext(later -> open(started, heard.future(), timers, buffers));
+                    Promise<Void> firstList = Promise.promise();
+                    // Discovery starts before the router listens, because requests of clients would
+                    // wait while its classes are being loaded on the loop.
+                    discovery.start(config.initialHostList(), firstList::tryComplete);
+                    vertx.setTimer(FIRST_LIST_TIMEOUT_MS, timer -> firstList.tryComplete());
+                    context.runOnContext(
+                            unused -> openListener(started, firstList.future(), timers, buffers));
                 });
         return started.future()
                 .onSuccess(
-                        nothing ->
+                        ignored ->
                                 log.info(
                                         "listening",
                                         "name",
-                                        facts.name(),
+                                        config.name(),
                                         "address",
-                                        facts.listen().ip() + ":" + clients.port()));
+                                        config.listen().ip() + ":" + clientConnections.port()));
     }
 
     private IoEventLoop loop() {
         return (IoEventLoop) ((ContextInternal) context).nettyEventLoop();
     }
 
-    private void open(
-            Promise<Void> started, Future<Void> heard, Timers timers, LoopSocket.Buffers buffers) {
-        Promise<Void> rehearsed = Promise.promise();
+    private void openListener(
+            Promise<Void> started,
+            Future<Void> firstList,
+            Timers timers,
+            LoopSocket.Buffers buffers) {
+        Promise<Void> warmedUp = Promise.promise();
         try {
-            clients.listen();
-        } catch (IOException taken) {
+            clientConnections.listen();
+        } catch (IOException e) {
             discovery.stop();
-            started.fail(taken);
+            started.fail(e);
             return;
         }
-        if (rehearses) {
-            int most = Math.max(1, facts.maxClientConnections() / 4);
-            clients.rehearse(
+        if (warmupEnabled) {
+            int maxSockets = Math.max(1, config.maxClientConnections() / 4);
+            clientConnections.warmUp(
                     new Warmup(
                             loop(),
                             timers,
                             buffers,
-                            facts,
+                            config,
                             module,
-                            most,
-                            played -> {
-                                log.info("rehearsed", "rpcs", played);
-                                rehearsed.tryComplete();
+                            maxSockets,
+                            rpcs -> {
+                                log.info("rehearsed", "rpcs", rpcs);
+                                warmedUp.tryComplete();
                             }));
         } else {
-            rehearsed.complete();
+            warmedUp.complete();
         }
         started.complete();
-        Future.all(rehearsed.future(), heard)
+        Future.all(warmedUp.future(), firstList)
                 .onSuccess(
-                        both -> {
-                            clients.ready();
-                            log.info("ready", "name", facts.name());
+                        ignored -> {
+                            clientConnections.setReady();
+                            log.info("ready", "name", config.name());
                         });
     }
 
-    /** Ready as soon as it has heard the list: for embedders whose code is warm already. */
+    /**
+     * Disables the warm-up, for programs in which the code is compiled already. The router is then
+     * ready as soon as it has the host list. Must be called before {@link #start}.
+     *
+     * @return this router
+     */
     public Router withoutWarmup() {
-        rehearses = false;
+        warmupEnabled = false;
         return this;
     }
 
-    private void uncaught(Throwable fault) {
+    private void onUncaught(Throwable cause) {
         counters.add(Counters.Count.FAULTS);
-        log.error("fault", fault);
+        log.error("fault", cause);
     }
 
     /**
-     * Takes up new facts without letting go of a connection or an RPC: the address of discovery.
-     * All others hold until the next start.
+     * Applies the address of the discovery service from new start facts; connections and RPCs are
+     * not affected. Changes of any other fact take effect at the next start.
      */
-    public Future<Void> reload(RouterConfig next) {
+    public Future<Void> reload(RouterConfig newConfig) {
         Promise<Void> done = Promise.promise();
         context.runOnContext(
-                nothing -> {
-                    log.info("reloaded", "discovery", next.discovery());
-                    discovery.moveTo(next.discovery());
+                ignored -> {
+                    log.info("reloaded", "discovery", newConfig.discovery());
+                    discovery.moveTo(newConfig.discovery());
                     done.complete();
                 });
         return done.future();
     }
 
     /**
-     * Goes on serving those who know it, while others take over, then asks them away between their
-     * requests, and ends when none is left. All is answered by the time at which PROTOCOL lets a
-     * router be killed.
+     * Serves connected clients for a while, so that other routers can take over, then closes each
+     * connection between two requests. The future completes when none is left, or else shortly
+     * before PROTOCOL allows the process to be killed; all RPCs have been answered by then.
      */
     public Future<Void> drain() {
-        Promise<Void> gone = Promise.promise();
+        Promise<Void> drained = Promise.promise();
         log.info("draining");
         context.runOnContext(
-                nothing -> {
-                    long untilKilled =
-                            Math.min(MOST_DEADLINE_MS, longestDeadline()) + KILLED_AFTER_MS;
-                    logic.endBy(Span.ofMillis(untilKilled - LAST_WRITES_MS));
+                ignored -> {
+                    long untilKillMs = Math.min(MAX_DEADLINE_MS, longestDeadline()) + KILL_GRACE_MS;
+                    logicTask.endBy(Span.ofMillis(untilKillMs - FINAL_WRITE_MS));
+                    vertx.setTimer(
+                            (long) (SERVING_FRACTION * untilKillMs),
+                            timer -> clientConnections.drain(drained::tryComplete));
                     vertx.setTimer(
-                            (long) (SERVING_PART * untilKilled),
-                            timer -> clients.dismissAll(gone::tryComplete));
-                    vertx.setTimer(untilKilled - LAST_WRITES_MS / 2, timer -> gone.tryComplete());
+                            untilKillMs - FINAL_WRITE_MS / 2, timer -> drained.tryComplete());
                 });
-        return gone.future();
+        return drained.future();
     }
 
     private long longestDeadline() {
-        return facts.deployment().methods().stream()
+        return config.deployment().methods().stream()
                 .mapToLong(method -> method.deadline().us() / 1_000)
                 .max()
                 .orElse(0);
     }
 
-    /** Ends at once. */
+    /**
+     * Closes all connections at once and releases all resources. RPCs that are still open are
+     * logged.
+     */
     public Future<Void> stop() {
         Promise<Void> stopped = Promise.promise();
         context.runOnContext(
-                nothing -> {
-                    logic.tellUnanswered();
+                ignored -> {
+                    logicTask.tellUnanswered();
                     log.info("stopped", "counters", counters);
-                    clients.stop();
+                    clientConnections.stop();
                     discovery.stop();
-                    hosts.stop();
+                    hostConnections.stop();
                     vertx.close().onComplete(stopped);
                 });
         return stopped.future();
     }
 
-    /** The port it listens on, once started. */
+    /** Returns the port that the router listens on. Requires that {@link #start} has completed. */
     public int port() {
-        return clients.port();
+        return clientConnections.port();
     }
 
+    /** Returns the counters of what the router has done since its start. */
     public Counters counters() {
         return counters;
     }
--- a/router/src/main/java/ironwind/net/Show.java
+++ b/router/src/main/java/ironwind/net/Show.java
@@ -15,38 +15,39 @@
 import java.util.List;
 import java.util.Locale;
 
-/** What {@code SHOW} tells an operator, a table a question. */
+/** Answers the {@code SHOW} commands with which operators inspect the router. */
 final class Show {
     private static final List<String> NAME_AND_VALUE = List.of("name", "value");
 
     private final Counters counters;
-    private final ConnectionManager keeper;
+    private final ConnectionManager connectionManager;
     private final MemoryBudget budget;
-    private final UnsentAnswers debtors;
-    private final ReadScheduler turns;
-    private final MonotonicTime steady;
-    private final LogicTask logic;
+    private final UnsentAnswers unsentAnswers;
+    private final ReadScheduler readScheduler;
+    private final MonotonicTime monotonicTime;
+    private final LogicTask logicTask;
 
+    /** Creates the commands for the statistics of the given components. */
     Show(
             Counters counters,
-            ConnectionManager keeper,
+            ConnectionManager connectionManager,
             MemoryBudget budget,
-            UnsentAnswers debtors,
-            ReadScheduler turns,
-            MonotonicTime steady,
-            LogicTask logic) {
+            UnsentAnswers unsentAnswers,
+            ReadScheduler readScheduler,
+            MonotonicTime monotonicTime,
+            LogicTask logicTask) {
         this.counters = counters;
-        this.keeper = keeper;
+        this.connectionManager = connectionManager;
         this.budget = budget;
-        this.debtors = debtors;
-        this.turns = turns;
-        this.steady = steady;
-        this.logic = logic;
+        this.unsentAnswers = unsentAnswers;
+        this.readScheduler = readScheduler;
+        this.monotonicTime = monotonicTime;
+        this.logicTask = logicTask;
     }
 
     /**
-     * The whole answer to {@code SHOW stats}, {@code clients}, {@code idle} or {@code memory}; null
-     * to all else.
+     * Returns the complete answer to {@code SHOW stats}, {@code SHOW clients}, {@code SHOW idle} or
+     * {@code SHOW memory}, or null for any other statement.
      */
     byte[] answerTo(String text) {
         String[] words = text.replace(";", "").strip().toLowerCase(Locale.ROOT).split("\\s+");
@@ -66,34 +67,35 @@
 
     private List<List<String>> clients() {
         List<List<String>> rows = new ArrayList<>();
-        long now = steady.advance(System.nanoTime() / 1_000);
-        for (ConnectionState standing : ConnectionState.values()) {
+        long now = monotonicTime.advance(System.nanoTime() / 1_000);
+        for (ConnectionState state : ConnectionState.values()) {
             rows.add(
                     List.of(
-                            standing.label(),
-                            Integer.toString(keeper.countInState(standing)),
-                            Long.toString(keeper.longestInState(standing, now).us() / 1_000)));
+                            state.label(),
+                            Integer.toString(connectionManager.countInState(state)),
+                            Long.toString(
+                                    connectionManager.longestInState(state, now).us() / 1_000)));
         }
         return rows;
     }
 
     private List<List<String>> idle() {
         List<List<String>> rows = new ArrayList<>();
-        add(rows, "inside", keeper.connectionCount());
-        add(rows, "most", keeper.limits().maxConnections());
-        add(rows, "addresses", keeper.addressCount());
-        add(rows, "open_rpcs", logic.open());
-        add(rows, "owed_clients", debtors.clientCount());
-        add(rows, "waiting_for_turn", turns.queueSize());
-        add(rows, "most_waiting_for_turn", turns.peakQueueSize());
-        add(rows, "turns_deferred", turns.deferredReads());
-        add(rows, "turns_too_late", turns.lateReads());
-        add(rows, "paused_ms", steady.skipped().us() / 1_000);
+        add(rows, "inside", connectionManager.connectionCount());
+        add(rows, "most", connectionManager.limits().maxConnections());
+        add(rows, "addresses", connectionManager.addressCount());
+        add(rows, "open_rpcs", logicTask.open());
+        add(rows, "owed_clients", unsentAnswers.clientCount());
+        add(rows, "waiting_for_turn", readScheduler.queueSize());
+        add(rows, "most_waiting_for_turn", readScheduler.peakQueueSize());
+        add(rows, "turns_deferred", readScheduler.deferredReads());
+        add(rows, "turns_too_late", readScheduler.lateReads());
+        add(rows, "paused_ms", monotonicTime.skipped().us() / 1_000);
         for (CloseReason reason : CloseReason.values()) {
             add(
                     rows,
                     "ended_" + reason.name().toLowerCase(Locale.ROOT),
-                    keeper.closedCount(reason));
+                    connectionManager.closedCount(reason));
         }
         return rows;
     }
--- a/router/src/main/java/ironwind/net/Warmup.java
+++ b/router/src/main/java/ironwind/net/Warmup.java
@@ -26,74 +26,81 @@
 import java.util.function.IntConsumer;
 
 /**
- * Plays RPCs through all of the router before it says that it is ready, so that what serves the
- * first clients is loaded and compiled: on a part of a core that takes seconds, in which they would
- * wait. It has a module, a task and connections of its own, and its only hosts are the router's own
- * door, which knows its requests by their ids.
+ * Sends RPCs through the whole router before it reports that it is ready, so that the code that
+ * serves the first clients is loaded and compiled by then. On a fraction of a core that takes
+ * seconds, for which those clients would have to wait. It has a decision module, a logic task and
+ * host connections of its own. The address of all its hosts is the router's own, where the router
+ * recognizes the requests by their ids and answers them with {@link #answerTo}.
  */
 final class Warmup {
-    /** By then what serves an RPC has run as often as the JVM wants before it compiles it. */
-    private static final int RPCS = 150;
+    /** Enough RPCs for the code that serves them to reach the JVM's compilation threshold. */
+    private static final int RPC_COUNT = 150;
 
-    private static final int AT_ONCE = 4;
+    private static final int CONCURRENCY = 4;
 
-    /** However slow the machine is, clients are not kept waiting for longer. */
-    private static final Span LONGEST = Span.ofMillis(4_000);
+    /** Limits how long clients wait for the warm-up on a slow machine. */
+    private static final Span TIMEOUT = Span.ofMillis(4_000);
 
-    private static final int MOST_SOCKETS = 16;
+    private static final int MAX_SOCKETS = 16;
 
-    /** No limit is to bind here. */
-    private static final long REHEARSAL_BYTES = 1 << 24;
+    /** Memory budget, large enough not to limit the warm-up. */
+    private static final long MEMORY_BYTES = 1 << 24;
 
     /**
-     * Hosts by id; the first is the primary. So many that none is taken for silent while all is
-     * still slow.
+     * Ids of the hosts; the first is the primary. There are enough of them that none is considered
+     * unresponsive while answers are slow because the code is not compiled yet.
      */
-    private static final List<String> HOSTS = List.of("a", "b", "c", "d", "e", "f");
+    private static final List<String> HOST_IDS = List.of("a", "b", "c", "d", "e", "f");
 
     private final Timers timers;
-    private final RouterConfig facts;
+    private final RouterConfig config;
     private final SplittableRandom random;
-    private final HostConnections hosts;
-    private final LogicTask task;
+    private final HostConnections hostConnections;
+    private final LogicTask logicTask;
     private final Set<String> ids = new HashSet<>();
-    private final IntConsumer done;
-    private int begun;
-    private boolean over;
+    private final IntConsumer onDone;
+    private int started;
+    private boolean finished;
 
-    /** {@code done} is told how many RPCs were played. */
+    /**
+     * Creates a warm-up and starts its timeout.
+     *
+     * @param module creates the decision module
+     * @param maxSockets most connections that the warm-up may open
+     * @param onDone receives the number of RPCs that were started
+     */
     Warmup(
             IoEventLoop loop,
             Timers timers,
             LoopSocket.Buffers buffers,
-            RouterConfig facts,
+            RouterConfig config,
             Function<Outbound, Inbound> module,
-            int most,
-            IntConsumer done) {
+            int maxSockets,
+            IntConsumer onDone) {
         this.timers = timers;
-        this.facts = facts.withConnectTimeout(LONGEST);
-        this.random = new SplittableRandom(facts.seed());
-        this.done = done;
+        this.config = config.withConnectTimeout(TIMEOUT);
+        this.random = new SplittableRandom(config.seed());
+        this.onDone = onDone;
         Counters counters = new Counters();
         Log log = new Log(new PrintStream(OutputStream.nullOutputStream()));
-        this.hosts =
+        this.hostConnections =
                 new HostConnections(
                         loop,
                         timers,
                         buffers,
-                        this.facts,
-                        new MemoryBudget(REHEARSAL_BYTES),
-                        Math.min(MOST_SOCKETS, most),
+                        this.config,
+                        new MemoryBudget(MEMORY_BYTES),
+                        Math.min(MAX_SOCKETS, maxSockets),
                         counters,
                         log);
-        this.task = new LogicTask(timers, this.facts, module, hosts, counters, log);
-        timers.after(LONGEST, this::end);
+        this.logicTask = new LogicTask(timers, this.config, module, hostConnections, counters, log);
+        timers.after(TIMEOUT, this::finish);
     }
 
-    /** Begins, with the router's own address as that of all hosts. */
-    void start(Address door) {
-        List<HostEntry> list =
-                HOSTS.stream()
+    /** Starts to send RPCs; {@code routerAddress} becomes the address of all hosts. */
+    void start(Address routerAddress) {
+        List<HostEntry> entries =
+                HOST_IDS.stream()
                         .map(
                                 id ->
                                         new HostEntry(
@@ -104,31 +111,34 @@
                                                 DiscoveryState.READY,
                                                 1,
                                                 Moment.NEVER,
-                                                id.equals(HOSTS.get(0))))
+                                                id.equals(HOST_IDS.get(0))))
                         .toList();
-        task.listed(true, list, () -> HOSTS.forEach(id -> hosts.locate(id, door)));
-        for (int i = 0; i < AT_ONCE; i++) {
-            next();
+        logicTask.listed(
+                true,
+                entries,
+                () -> HOST_IDS.forEach(id -> hostConnections.locate(id, routerAddress)));
+        for (int i = 0; i < CONCURRENCY; i++) {
+            startNext();
         }
     }
 
-    private void next() {
-        if (over) {
+    private void startNext() {
+        if (finished) {
             return;
-        } else if (begun == RPCS) {
-            end();
+        } else if (started == RPC_COUNT) {
+            finish();
             return;
         }
-        List<Method> methods = facts.deployment().methods();
-        Method method = methods.get(begun % methods.size());
+        List<Method> methods = config.deployment().methods();
+        Method method = methods.get(started % methods.size());
         Customer customer =
-                facts.deployment().customers().isEmpty()
+                config.deployment().customers().isEmpty()
                         ? null
-                        : facts.deployment().customers().get(0);
+                        : config.deployment().customers().get(0);
         String id = "rehearsal-" + Long.toHexString(random.nextLong());
         ids.add(id);
-        begun++;
-        long waits = method.deadline().us() / 1_000;
+        started++;
+        long deadlineMs = method.deadline().us() / 1_000;
         Statement statement =
                 Statement.parse(
                         "/* id="
@@ -136,28 +146,28 @@
                                 + ",c="
                                 + method.index()
                                 + ",d="
-                                + waits
+                                + deadlineMs
                                 + ",k="
                                 + id
                                 + ",cluster=0 */ SELECT val FROM state WHERE uid = '"
                                 + id
                                 + "'");
-        task.arrived(
-                new Exchange(statement, () -> timers.soon(this::next)),
+        logicTask.arrived(
+                new Exchange(statement, () -> timers.soon(this::startNext)),
                 new LogicTask.Asked(
                         id,
                         method,
                         customer,
                         0,
                         statement.rowKey(),
-                        Span.ofMillis(waits),
+                        Span.ofMillis(deadlineMs),
                         0,
                         false,
                         Span.ZERO,
                         false));
     }
 
-    /** What a host would answer to a request of the rehearsal; null to any other. */
+    /** Returns the answer of a host to a request of the warm-up, or null for any other request. */
     byte[] answerTo(Statement statement) {
         if (!ids.contains(statement.attributes().getOrDefault("id", ""))) {
             return null;
@@ -167,11 +177,11 @@
                 Map.of("applied_ms", Long.toString(System.currentTimeMillis())));
     }
 
-    private void end() {
-        if (!over) {
-            over = true;
-            hosts.stop();
-            done.accept(begun);
+    private void finish() {
+        if (!finished) {
+            finished = true;
+            hostConnections.stop();
+            onDone.accept(started);
         }
     }
 }
--- a/router/src/test/java/ironwind/net/LoopLagTest.java
+++ b/router/src/test/java/ironwind/net/LoopLagTest.java
@@ -8,8 +8,8 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 class LoopLagTest {
-    /** Times in milliseconds; opened at 0, a beat every 100 ms. */
-    @ParameterizedTest(name = "last beat at {0}, read at {1}: it may have lain there for {2} ms")
+    /** Times in milliseconds from the start, with a tick every 100 ms; -1 stands for no tick. */
+    @ParameterizedTest(name = "last tick at {0}, read at {1}: lag {2} ms")
     @CsvSource({
         "-1, 0, 0",
         "-1, 320, 320",
@@ -19,13 +19,14 @@
         "950, 960, 0",
         "950, 1051, 1"
     })
-    void whatIsReadBehindAStandingLoopMayHaveLainThereSinceItsBeatWasDue(
-            long beat, long read, long lay) {
-        Moment opened = Moment.ofMillis(1_000_000);
-        LoopLag lag = new LoopLag(Span.ofMillis(100), opened);
-        if (beat >= 0) {
-            lag.recordTick(opened.plus(Span.ofMillis(beat)));
+    void dataReadFromABlockedLoopMayHaveWaitedSinceItsTickWasDue(
+            long tick, long readAt, long expectedLag) {
+        Moment start = Moment.ofMillis(1_000_000);
+        LoopLag lag = new LoopLag(Span.ofMillis(100), start);
+        if (tick >= 0) {
+            lag.recordTick(start.plus(Span.ofMillis(tick)));
         }
-        assertThat(lag.lagAt(opened.plus(Span.ofMillis(read)))).isEqualTo(Span.ofMillis(lay));
+        assertThat(lag.lagAt(start.plus(Span.ofMillis(readAt))))
+                .isEqualTo(Span.ofMillis(expectedLag));
     }
 }
--- a/router/src/test/java/ironwind/net/ShowTest.java
+++ b/router/src/test/java/ironwind/net/ShowTest.java
@@ -17,14 +17,17 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** The names that {@code SHOW} prints for enum constants, which operators' tools match. */
+/**
+ * Operators' tools match the names that {@code SHOW} prints for enum constants. Guards against a
+ * renamed constant that changes them.
+ */
 class ShowTest {
     private static final Limits LIMITS =
             Limits.defaults(10, 64, Span.ofMillis(100), Span.ofMillis(1_000));
 
     private final MemoryBudget budget = new MemoryBudget(LIMITS.memoryBytes());
 
-    /** Answers what needs no logic task, which is all but {@code SHOW idle}. */
+    /** Has no logic task, which only {@code SHOW idle} needs. */
     private final Show show =
             new Show(
                     new Counters(),
@@ -36,7 +39,7 @@
                     null);
 
     @Test
-    void showClientsPrintsTheStatesByTheirOuterNames() {
+    void showClientsPrintsTheLabelsOfTheStates() {
         List<List<String>> rows =
                 Stream.of("parting", "stranger", "greeted", "served", "halfway", "busy")
                         .map(label -> List.of(label, "0", "0"))
@@ -48,7 +51,7 @@
     }
 
     @Test
-    void showMemoryPrintsTheUsesByTheirOuterNames() {
+    void showMemoryPrintsTheLabelsOfTheUses() {
         List<String> names =
                 List.of(
                         "incoming",
@@ -71,9 +74,9 @@
         }
     }
 
-    /** {@code SHOW idle} prints the reasons in lower case behind {@code ended_}, the log as is. */
+    /** {@code SHOW idle} prints them in lower case after {@code ended_}, the log unchanged. */
     @Test
-    void theReasonsKeepTheirOuterNames() {
+    void closeReasonsKeepTheirNames() {
         assertThat(Arrays.stream(CloseReason.values()).map(CloseReason::toString))
                 .containsExactly(
                         "GAVE_WAY",
