--- /dev/null
+++ b/router/src/main/java/ironwind/net/ClientConnections.java
@@ -0,0 +1,605 @@
+package ironwind.net;
+
+import io.netty.channel.IoEventLoop;
+import ironwind.config.Address;
+import ironwind.config.NameIndex;
+import ironwind.config.RouterConfig;
+import ironwind.idle.CloseReason;
+import ironwind.idle.ConnectionManager;
+import ironwind.idle.ConnectionState;
+import ironwind.idle.Limits;
+import ironwind.idle.MemoryBudget;
+import ironwind.idle.MemoryBudget.Use;
+import ironwind.idle.MonotonicTime;
+import ironwind.idle.ReadScheduler;
+import ironwind.idle.TrackedConnection;
+import ironwind.idle.UnsentAnswers;
+import ironwind.model.Customer;
+import ironwind.model.Idempotency;
+import ironwind.model.Method;
+import ironwind.model.Moment;
+import ironwind.model.Span;
+import ironwind.net.Counters.Count;
+import ironwind.pg.Encoder;
+import ironwind.pg.PgException;
+import ironwind.pg.Statement;
+import java.io.IOException;
+import java.net.InetSocketAddress;
+import java.net.StandardSocketOptions;
+import java.nio.channels.SocketChannel;
+import java.util.ArrayList;
+import java.util.List;
+import jdk.net.ExtendedSocketOptions;
+
+/**
+ * All connections of clients. Turns their commands into RPCs, and carries out the decisions of
+ * {@code ironwind.idle} about which connections are accepted, kept open and read.
+ */
+final class ClientConnections implements Acceptor.Handler {
+    /**
+     * Longest time in a comment, in milliseconds, so that arithmetic in microseconds does not
+     * overflow.
+     */
+    private static final long MAX_TIME_MS = Long.MAX_VALUE / 1_000_000;
+
+    /** How often timeouts are checked, with one timer for all connections. */
+    private static final Span HOUSEKEEPING_INTERVAL = Span.ofMillis(100);
+
+    /** Longest step of the monotonic time; a longer one is a pause of the process. */
+    private static final Span MAX_TIME_STEP = Span.ofMillis(500);
+
+    /** Lag of the event loop above which it is logged. */
+    private static final Span LAG_WARNING_THRESHOLD = Span.ofMillis(200);
+
+    /** Connections closed at a time, before the others are served again. */
+    private static final int CLOSE_BATCH_SIZE = 256;
+
+    /**
+     * Attempts to evict that may fail for one new connection, each because the client has just sent
+     * something.
+     */
+    private static final int MAX_FAILED_EVICTIONS = 8;
+
+    /** TCP keepalive probes without a reply after which a connection fails. */
+    private static final int KEEPALIVE_PROBES = 3;
+
+    /**
+     * The settings tell how long clients wait for a method. A deadline in a comment that is longer
+     * than this multiple of it is malformed.
+     */
+    private static final double MAX_DEADLINE_MULTIPLE = 4;
+
+    /** Memory of an open RPC beside its statement, which is held as text and as attributes. */
+    private static final int OPEN_RPC_BYTES = 1_024;
+
+    final IoEventLoop loop;
+    final LoopSocket.Buffers buffers;
+    private final Timers timers;
+    private final RouterConfig config;
+
+    /** Connections that the file descriptors allow, including those that are closing. */
+    private final int maxConnections;
+
+    private final LogicTask logicTask;
+    private final Counters counters;
+    private final Log log;
+    private final Limits limits;
+    private final ConnectionManager connectionManager;
+    private final MemoryBudget budget;
+    private final UnsentAnswers unsentAnswers;
+    private final ReadScheduler readScheduler;
+    private final MonotonicTime monotonicTime = new MonotonicTime(MAX_TIME_STEP);
+    private final Show show;
+
+    /** Empty queries, which are not answered until the router is ready. */
+    private final List<Exchange> readinessChecks = new ArrayList<>();
+
+    private LoopLag loopLag;
+    private Acceptor acceptor;
+    private Warmup warmup;
+    private boolean turnScheduled;
+    private boolean ready;
+    private boolean draining;
+    private Runnable onDrained = () -> {};
+
+    /**
+     * Creates an instance without any connection.
+     *
+     * @param maxConnections connections that the file descriptors allow
+     */
+    ClientConnections(
+            IoEventLoop loop,
+            Timers timers,
+            LoopSocket.Buffers buffers,
+            RouterConfig config,
+            Limits limits,
+            MemoryBudget budget,
+            int maxConnections,
+            LogicTask logicTask,
+            Counters counters,
+            Log log) {
+        this.loop = loop;
+        this.buffers = buffers;
+        this.timers = timers;
+        this.config = config;
+        this.limits = limits;
+        this.maxConnections = maxConnections;
+        this.logicTask = logicTask;
+        this.counters = counters;
+        this.log = log;
+        this.connectionManager = new ConnectionManager(limits);
+        this.budget = budget;
+        this.unsentAnswers = new UnsentAnswers(limits, budget);
+        this.readScheduler = new ReadScheduler(limits, budget);
+        this.show =
+                new Show(
+                        counters,
+                        connectionManager,
+                        budget,
+                        unsentAnswers,
+                        readScheduler,
+                        monotonicTime,
+                        logicTask);
+    }
+
+    /**
+     * Starts to accept connections.
+     *
+     * @throws IOException if the address cannot be bound
+     */
+    void listen() throws IOException {
+        loopLag = new LoopLag(HOUSEKEEPING_INTERVAL, Clock.read());
+        acceptor =
+                Acceptor.open(
+                        loop,
+                        config.listen(),
+                        this,
+                        timers,
+                        e ->
+                                log.warn(
+                                        "no_descriptor",
+                                        "open",
+                                        connectionManager.connectionCount(),
+                                        "cause",
+                                        e.getMessage()));
+        timers.scheduleAtFixedRate(HOUSEKEEPING_INTERVAL, this::runHousekeeping);
+    }
+
+    /** Returns the port that it listens on. */
+    int port() {
+        return acceptor.port();
+    }
+
+    /**
+     * Starts a warm-up. Its requests are answered until the router is ready, and a little longer
+     * for those that are on their way.
+     */
+    void warmUp(Warmup newWarmup) {
+        warmup = newWarmup;
+        newWarmup.start(new Address(config.listen().ip(), port()));
+    }
+
+    /** Answers empty queries from now on, which tells the load balancer to send clients. */
+    void setReady() {
+        ready = true;
+        timers.schedule(limits.startupTimeout(), () -> warmup = null);
+        readinessChecks.forEach(exchange -> exchange.answer(Encoder.emptyQueryResponse()));
+        readinessChecks.clear();
+    }
+
+    /** Returns the monotonic time in microseconds. */
+    private long now() {
+        return monotonicTime.advance(System.nanoTime() / 1_000);
+    }
+
+    // ---- accepting
+
+    @Override
+    public Span acceptPause() {
+        if (connectionManager.connectionCount() >= maxConnections) {
+            return null;
+        }
+        long now = now();
+        return connectionManager.mayAccept(now) ? Span.ZERO : connectionManager.nextAcceptIn(now);
+    }
+
+    @Override
+    public void onAccepted(SocketChannel channel) {
+        counters.add(Count.CLIENTS);
+        Object address;
+        try {
+            channel.configureBlocking(false);
+            channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
+            if (limits.sendBufferBytes() > 0) {
+                channel.setOption(StandardSocketOptions.SO_SNDBUF, (int) limits.sendBufferBytes());
+            }
+            if (limits.keepalive().us() > 0) {
+                enableKeepalive(channel);
+            }
+            address = ((InetSocketAddress) channel.getRemoteAddress()).getAddress();
+        } catch (IOException e) {
+            // The client has closed the connection already.
+            counters.add(Ending.CLIENT_LEFT);
+            new LoopSocket(channel, buffers, null).close();
+            return;
+        }
+        evictForNewConnection();
+        CloseReason refusal = connectionManager.refusalReason(address);
+        ClientConnection client = new ClientConnection(channel, this, loopLag.lagAt(Clock.read()));
+        connectionManager.add(client, address, now());
+        client.start();
+        if (refusal != null) {
+            log.warn(
+                    "client_refused",
+                    "reason",
+                    refusal,
+                    "address",
+                    address,
+                    "open",
+                    connectionManager.connectionCount());
+            client.reject(refusal, config.deployment().maxRetryAfter());
+        } else if (draining) {
+            client.drain();
+        }
+    }
+
+    private void enableKeepalive(SocketChannel channel) throws IOException {
+        int seconds = (int) Math.max(1, limits.keepalive().us() / 1_000_000);
+        channel.setOption(StandardSocketOptions.SO_KEEPALIVE, true);
+        channel.setOption(ExtendedSocketOptions.TCP_KEEPIDLE, seconds);
+        channel.setOption(
+                ExtendedSocketOptions.TCP_KEEPINTERVAL, Math.max(1, seconds / KEEPALIVE_PROBES));
+        channel.setOption(ExtendedSocketOptions.TCP_KEEPCOUNT, KEEPALIVE_PROBES);
+    }
+
+    private void evictForNewConnection() {
+        int failedEvictions = 0;
+        TrackedConnection candidate = connectionManager.evictionCandidateIfFull();
+        while (candidate != null && failedEvictions < MAX_FAILED_EVICTIONS) {
+            failedEvictions += evict(candidate, CloseReason.GAVE_WAY) ? 0 : 1;
+            candidate = connectionManager.evictionCandidateIfFull();
+        }
+    }
+
+    /**
+     * Closes a connection unless its client has just sent something, and returns whether it is
+     * closed.
+     */
+    private boolean evict(TrackedConnection connection, CloseReason reason) {
+        boolean wasClosing = connection.state() == ConnectionState.CLOSING;
+        boolean closed = ((ClientConnection) connection).evict();
+        if (closed && !wasClosing) {
+            connectionManager.recordClose(reason);
+        }
+        return closed;
+    }
+
+    // ---- timeouts
+
+    private void runHousekeeping() {
+        Moment now = Clock.read();
+        Span lag = loopLag.lagAt(now);
+        if (lag.longerThan(LAG_WARNING_THRESHOLD)) {
+            log.warn("loop_stood", "ms", lag.us() / 1_000, "ready", ready);
+        }
+        loopLag.recordTick(now);
+        closeExpired();
+        closeSlowReaders(now());
+        logicTask.onMemoryReleased();
+        acceptor.tryResume();
+        if (readScheduler.hasQueued()) {
+            scheduleTurn();
+        }
+    }
+
+    private void closeExpired() {
+        long now = now();
+        TrackedConnection due = connectionManager.nextExpired(now);
+        for (int i = 0; i < CLOSE_BATCH_SIZE && due != null; i++) {
+            ClientConnection client = (ClientConnection) due;
+            CloseReason reason = connectionManager.expiryReason(due);
+            if (due.state() == ConnectionState.CLOSING) {
+                client.closeNow();
+            } else if (reason == CloseReason.TOO_SLOW) {
+                connectionManager.recordClose(reason);
+                client.fail(new PgException(reason.sqlState, reason.message));
+            } else {
+                evict(due, reason);
+            }
+            due = connectionManager.nextExpired(now);
+        }
+        if (due != null) {
+            executeLater(this::closeExpired);
+        }
+    }
+
+    private void closeSlowReaders(long now) {
+        for (TrackedConnection due = unsentAnswers.nextToClose(now);
+                due != null;
+                due = unsentAnswers.nextToClose(now)) {
+            CloseReason reason = unsentAnswers.closeReason();
+            connectionManager.recordClose(reason);
+            log.warn(
+                    "client_owed",
+                    "reason",
+                    reason,
+                    "bytes",
+                    due.unsentBytes(),
+                    "all",
+                    budget.reserved(Use.UNSENT_ANSWERS));
+            ((ClientConnection) due).closeNow();
+        }
+    }
+
+    // ---- read scheduling
+
+    /**
+     * Returns whether a readable connection is to be read now. If not, it is queued and read in a
+     * later turn.
+     */
+    boolean readNowOrEnqueue(ClientConnection client) {
+        boolean readNow = readScheduler.readNowOrEnqueue(client, now(), logicTask.openRpcCount());
+        if (!readNow) {
+            scheduleTurn();
+        }
+        return readNow;
+    }
+
+    /** Returns whether the connection is queued to be read. */
+    boolean isQueued(ClientConnection client) {
+        return readScheduler.isQueued(client);
+    }
+
+    private void scheduleTurn() {
+        if (!turnScheduled) {
+            turnScheduled = true;
+            timers.execute(this::runTurn);
+        }
+    }
+
+    /** Reads queued connections for one turn; active ones are polled before the next. */
+    private void runTurn() {
+        turnScheduled = false;
+        readScheduler.beginTurn(now());
+        TrackedConnection next = readScheduler.poll(now(), logicTask.openRpcCount());
+        while (next != null) {
+            ((ClientConnection) next).readQueued();
+            next = readScheduler.poll(now(), logicTask.openRpcCount());
+        }
+        if (readScheduler.hasQueued()
+                && readScheduler.hasEligible(now(), logicTask.openRpcCount())) {
+            scheduleTurn();
+        }
+    }
+
+    /** Records that the input of a connection has been processed. */
+    void markRead(ClientConnection client) {
+        readScheduler.markRead(client);
+    }
+
+    // ---- memory
+
+    /**
+     * Reserves memory for input that is not processed yet, or releases it if {@code bytes} is
+     * negative.
+     *
+     * @param force whether the memory is reserved even above the limit
+     * @return whether the memory is reserved
+     */
+    boolean reserve(int bytes, boolean force) {
+        if (force || bytes <= 0) {
+            budget.forceReserve(Use.PARTIAL_REQUESTS, bytes);
+            return true;
+        }
+        boolean reserved = budget.tryReserve(Use.PARTIAL_REQUESTS, bytes);
+        if (!reserved) {
+            connectionManager.recordClose(CloseReason.NO_MEMORY);
+        }
+        return reserved;
+    }
+
+    /** Records that the socket of a connection did not accept this many bytes. */
+    void addUnsent(ClientConnection client, int bytes) {
+        long now = now();
+        unsentAnswers.add(client, bytes, now);
+        if (budget.reserved(Use.UNSENT_ANSWERS) > limits.maxUnsentTotal()) {
+            executeLater(() -> closeSlowReaders(now()));
+        }
+    }
+
+    /** Records that the socket of a connection accepted this many of the unsent bytes. */
+    void recordDrained(ClientConnection client, int bytes) {
+        unsentAnswers.drained(client, bytes, now());
+    }
+
+    /** Returns whether so many bytes are unsent that the connection must not be read from. */
+    boolean isOverUnsentLimit(ClientConnection client) {
+        return unsentAnswers.isOverClientLimit(client);
+    }
+
+    // ---- connection state
+
+    /** Records the state of a connection, whose timeout starts now. */
+    void setState(ClientConnection client, ConnectionState state) {
+        connectionManager.setState(client, state, now());
+    }
+
+    /**
+     * Releases the memory of an answered command. If its customer is over the limit of connections,
+     * evicts another one that is idle.
+     */
+    void onAnswered(ClientConnection client, Exchange exchange) {
+        if (readScheduler.hasQueued()) {
+            scheduleTurn();
+        }
+        budget.release(Use.OPEN_RPCS, exchange.reservedBytes);
+        exchange.reservedBytes = 0;
+        if (exchange.rpc != null) {
+            TrackedConnection overLimit =
+                    connectionManager.recordAnswer(client, exchange.rpc.customer, now());
+            if (overLimit != null && overLimit != client) {
+                executeLater(() -> evict(overLimit, CloseReason.CUSTOMER_FULL));
+            }
+        }
+    }
+
+    /** Runs an action on the event loop after the current one. */
+    void executeLater(Runnable action) {
+        timers.execute(action);
+    }
+
+    /** Counts and logs malformed input of a client. */
+    void recordMalformed(PgException e) {
+        counters.add(Count.MALFORMED);
+        log.warn("client_malformed", "code", e.sqlState, "what", e.getMessage());
+    }
+
+    /**
+     * Removes a closed connection.
+     *
+     * @param unanswered its first unanswered command, linked to the others; null if there is none
+     */
+    void onClosed(ClientConnection client, Ending ending, Exchange unanswered) {
+        counters.add(ending);
+        unsentAnswers.remove(client);
+        connectionManager.remove(client);
+        for (Exchange exchange = unanswered; exchange != null; exchange = exchange.next) {
+            budget.release(Use.OPEN_RPCS, exchange.reservedBytes);
+            exchange.reservedBytes = 0;
+            logicTask.onClientLeft(exchange);
+        }
+        acceptor.tryResume();
+        if (draining && connectionManager.connectionCount() == 0) {
+            onDrained.run();
+        }
+    }
+
+    // ---- commands
+
+    /**
+     * Executes one command.
+     *
+     * @throws PgException if the command is malformed
+     */
+    void execute(ClientConnection client, String sql) {
+        Statement statement = Statement.parse(sql);
+        if (!statement.attributes().isEmpty()) {
+            startRpc(client, statement);
+        } else if (statement.text().isEmpty()) {
+            Exchange exchange = client.addExchange(null, 0);
+            if (ready) {
+                exchange.answer(Encoder.emptyQueryResponse());
+            } else {
+                readinessChecks.add(exchange);
+            }
+        } else {
+            byte[] answer = show.answerTo(statement.text());
+            if (answer == null) {
+                throw new PgException(
+                        PgException.FEATURE_NOT_SUPPORTED,
+                        "a statement must begin with a comment that describes its RPC");
+            }
+            client.addExchange(null, 0).answer(answer);
+        }
+    }
+
+    private void startRpc(ClientConnection client, Statement statement) {
+        byte[] warmupAnswer = warmup == null ? null : warmup.answerTo(statement);
+        if (warmupAnswer != null) {
+            client.addExchange(statement, 0).answer(warmupAnswer);
+            return;
+        }
+        NameIndex names = config.names();
+        Method method = requireKnown(names.methods().get(statement.required("c")), "c");
+        Customer customer =
+                names.customers().isEmpty()
+                        ? null
+                        : requireKnown(names.customers().get(statement.required("t")), "t");
+        Span deadline = Span.ofMillis(statement.requiredLong("d", 1, MAX_TIME_MS));
+        if (deadline.longerThan(method.deadline().times(MAX_DEADLINE_MULTIPLE))) {
+            throw new PgException(
+                    PgException.SYNTAX_ERROR,
+                    "the comment's d is far above the deadline of its method: "
+                            + deadline.us()
+                            + " us");
+        }
+        if (method.idempotency() == Idempotency.TOKENED) {
+            statement.required("k");
+        }
+        long afterMs =
+                statement.attributes().containsKey("after")
+                        ? statement.requiredLong("after", 0, MAX_TIME_MS)
+                        : 0;
+        int bytes = OPEN_RPC_BYTES + 2 * statement.text().length();
+        Span queueTime = readScheduler.queueTime(client, now());
+        Span inputDelay = queueTime.longer(client.takeInputDelay(loopLag.lagAt(Clock.read())));
+        LogicTask.RpcRequest request =
+                new LogicTask.RpcRequest(
+                        statement.required("id"),
+                        method,
+                        customer,
+                        (int) statement.requiredLong("cluster", 0, Integer.MAX_VALUE),
+                        statement.rowKey(),
+                        deadline,
+                        afterMs,
+                        "1".equals(statement.attributes().get("r")),
+                        inputDelay,
+                        readScheduler.shouldPushBack(queueTime, bytes));
+        logicTask.validate(request);
+        budget.forceReserve(Use.OPEN_RPCS, bytes);
+        logicTask.onRpcArrived(client.addExchange(statement, bytes), request);
+    }
+
+    private static <T> T requireKnown(T value, String key) {
+        if (value == null) {
+            throw new PgException(
+                    PgException.SYNTAX_ERROR, "the comment's " + key + " has an unknown value");
+        }
+        return value;
+    }
+
+    // ---- shutdown
+
+    /** Closes each connection between two requests, and runs the action once none is left. */
+    void drain(Runnable action) {
+        draining = true;
+        onDrained = action;
+        drainBatch();
+        if (connectionManager.connectionCount() == 0) {
+            onDrained.run();
+        }
+    }
+
+    /**
+     * Closes a batch of connections, so that requests of others are served before the next batch.
+     * Busy connections close after their last answer.
+     */
+    private void drainBatch() {
+        TrackedConnection next = connectionManager.evictionCandidate();
+        for (int i = 0;
+                i < CLOSE_BATCH_SIZE && next != null && connectionManager.connectionCount() > 0;
+                i++) {
+            if (next.state() == ConnectionState.CLOSING) {
+                ((ClientConnection) next).closeNow();
+            } else {
+                ((ClientConnection) next).drain();
+            }
+            next = connectionManager.evictionCandidate();
+        }
+        if (next != null) {
+            executeLater(this::drainBatch);
+        }
+    }
+
+    /** Returns whether {@link #drain} was called. */
+    boolean isDraining() {
+        return draining;
+    }
+
+    /** Stops accepting connections. */
+    void stop() {
+        if (acceptor != null) {
+            acceptor.close();
+        }
+    }
+}
--- a/router/src/main/java/ironwind/net/HostConnection.java
+++ b/router/src/main/java/ironwind/net/HostConnection.java
@@ -13,7 +13,7 @@
  * A connection to a host. After the startup sequence it carries one request at a time and is
  * returned to the pool in between.
  */
-final class HostConnection implements LoopSocket.Owner {
+final class HostConnection implements LoopSocket.Handler {
     private static final String USER = "client";
     private static final String DATABASE = "core";
 
@@ -87,15 +87,15 @@
 
     /** Starts the startup sequence. */
     @Override
-    public void connected() {
+    public void onConnected() {
         if (!closed) {
-            socket.listen(true);
+            socket.setReadInterest(true);
             socket.write(Encoder.startup(USER, DATABASE));
         }
     }
 
     @Override
-    public void unconnected(IOException cause) {
+    public void onConnectFailed(IOException cause) {
         failConnect(
                 cause instanceof ConnectException
                         ? Ending.CONNECTION_REFUSED
@@ -115,7 +115,7 @@
     }
 
     @Override
-    public void taken(int bytes) {
+    public void onWritten(int bytes) {
         unwrittenBytes = Math.max(0, unwrittenBytes - bytes);
     }
 
@@ -142,7 +142,7 @@
     }
 
     @Override
-    public void readable() {
+    public void onReadable() {
         byte[] bytes = closed ? null : socket.read();
         if (bytes == null) {
             onDisconnected();
@@ -198,7 +198,7 @@
             if (pool.tryReserveMemory(this, missing)) {
                 onMemoryReserved();
             } else {
-                socket.listen(false);
+                socket.setReadInterest(false);
             }
         }
     }
@@ -217,7 +217,7 @@
     /** Resumes reading: the memory that the connection waited for has been reserved. */
     void resumeReading() {
         onMemoryReserved();
-        socket.listen(true);
+        socket.setReadInterest(true);
     }
 
     private void releaseMemory() {
@@ -277,7 +277,7 @@
     }
 
     @Override
-    public void broken() {
+    public void onFailure() {
         // Deferred, because the caller of write is still at work.
         pool.execute(this::onDisconnected);
     }
--- a/router/src/main/java/ironwind/net/LogicTask.java
+++ b/router/src/main/java/ironwind/net/LogicTask.java
@@ -275,10 +275,10 @@
     /** Schedules {@link #checkAnswered} for the end of the slack after the RPC's deadline. */
     private void scheduleAnswerCheck(Exchange exchange) {
         Span delay = exchange.rpc.deadline.plus(answerSlack).since(Clock.read());
-        if (exchange.guard != null) {
-            exchange.guard.cancel();
+        if (exchange.watchdog != null) {
+            exchange.watchdog.cancel();
         }
-        exchange.guard =
+        exchange.watchdog =
                 timers.schedule(
                         delay, () -> enqueue(exchange, time -> checkAnswered(time, exchange)));
     }
