--- a/router/src/test/java/ironwind/net/RouterTest.java
+++ b/router/src/test/java/ironwind/net/RouterTest.java
@@ -53,72 +53,83 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * A router on loopback between clients, one group of hosts and discovery, all played from the
- * public protocols.
+ * Runs a router on the loopback interface against clients, hosts and a discovery server, all of
+ * which speak the public protocols to it.
  */
 @Timeout(value = 10, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class RouterTest {
-    private static final String CUT = "no answer, and the connection is cut";
-    private static final String SILENT = "no answer at all";
+    /** Makes the discovery server close the connection instead of responding. */
+    private static final String CLOSE = "connection closed without a response";
 
-    /** Discovery's answers come in pieces of so many bytes. */
-    private static final int PIECE = 1_021;
+    /** Makes the discovery server leave the request without a response. */
+    private static final String NO_RESPONSE = "no response";
+
+    /** Size of the chunks in which the discovery server writes a response. */
+    private static final int DISCOVERY_CHUNK_BYTES = 1_021;
 
     private static final InetAddress LOOPBACK = InetAddress.getLoopbackAddress();
-    private static final String READ =
+    private static final String READ_TEMPLATE =
             "/* id=r%d,c=read,d=%d,cluster=2 */ SELECT val FROM state WHERE uid = 'k'";
-    private static final String WRITE =
+    private static final String WRITE_TEMPLATE =
             "/* id=r%d,c=write,d=%d,k=m,cluster=2 */ INSERT INTO state (uid) VALUES ('k')";
     private static final JsonObject SETTINGS =
             new JsonObject(
                     """
         {"period_us": 5000, "peers_total": 1, "zones": ["north"], "kinds": ["plain"], "tenants": [],
          "lanes": [
-          {"name": "read", "effect": "retryable", "deadline_us": 2000000, "goal_time_us": 400000, "worth": 2.0},
-          {"name": "write", "effect": "fragile", "deadline_us": 2000000, "goal_time_us": 400000, "worth": 6}],
+          {"name": "read", "effect": "retryable", "deadline_us": 2000000, "goal_time_us": 400000,
+           "worth": 2.0},
+          {"name": "write", "effect": "fragile", "deadline_us": 2000000, "goal_time_us": 400000,
+           "worth": 6}],
          "extra": {"read_level": ["loose", "update"], "when_behind": "off"},
-         "caps": {"cancel": true, "may_probe": true, "parallel_tries": true, "most_tries": 4, "retry_after": true,
-                  "max_retry_after_us": 250000, "connect_timeout_us": 250000, "idle_close_us": 30000000},
+         "caps": {"cancel": true, "may_probe": true, "parallel_tries": true, "most_tries": 4,
+                  "retry_after": true, "max_retry_after_us": 250000, "connect_timeout_us": 250000,
+                  "idle_close_us": 30000000},
          "rules": {"answer_slack_us": 20000, "drain_grace_us": 500000}, "prices": {"probe": 0.01}}""");
 
-    private final ExecutorService threads = Executors.newCachedThreadPool();
-    private final ByteArrayOutputStream log = new ByteArrayOutputStream();
-    private final BlockingQueue<String> lists = new LinkedBlockingQueue<>();
-    private final List<AutoCloseable> opened = new ArrayList<>();
-    private volatile byte[] value = {0, (byte) 0xff, 'x', 0};
-    private StandInHost primary;
-    private StandInHost replica;
+    private final ExecutorService executor = Executors.newCachedThreadPool();
+    private final ByteArrayOutputStream logOutput = new ByteArrayOutputStream();
+    private final BlockingQueue<String> discoveryResponses = new LinkedBlockingQueue<>();
+    private final List<AutoCloseable> resources = new ArrayList<>();
+    private volatile byte[] rowValue = {0, (byte) 0xff, 'x', 0};
+    private ScriptedHost primary;
+    private ScriptedHost replica;
     private HttpServer discovery;
-    private RouterConfig facts;
+    private RouterConfig config;
     private Router router;
-    private int asked;
+    private int nextRequestId;
 
     @BeforeEach
-    void start() throws Exception {
-        primary = new StandInHost("primary");
-        replica = new StandInHost("replica");
-        discovery = discovery(lists);
-        facts = RouterConfig.read(configuration(discovery));
+    void setUp() throws Exception {
+        primary = new ScriptedHost("primary");
+        replica = new ScriptedHost("replica");
+        discovery = startDiscovery(discoveryResponses);
+        config = RouterConfig.read(configJson(discovery));
     }
 
-    private HttpServer discovery(BlockingQueue<String> answers) throws IOException {
+    private HttpServer startDiscovery(BlockingQueue<String> responses) throws IOException {
         HttpServer server = HttpServer.create(new InetSocketAddress(LOOPBACK, 0), 0);
-        server.setExecutor(threads);
+        server.setExecutor(executor);
         server.createContext(
                 "/registry/instances",
                 exchange -> {
                     try {
-                        String answer = answers.take();
-                        if (answer.equals(SILENT)) {
+                        String response = responses.take();
+                        if (response.equals(NO_RESPONSE)) {
                             new CountDownLatch(1).await();
-                        } else if (answer.equals(CUT)) {
+                        } else if (response.equals(CLOSE)) {
                             return;
                         }
-                        byte[] body = answer.getBytes(StandardCharsets.UTF_8);
+                        byte[] body = response.getBytes(StandardCharsets.UTF_8);
                         exchange.sendResponseHeaders(200, body.length);
-                        for (int from = 0; from < body.length; from += PIECE) {
+                        for (int offset = 0;
+                                offset < body.length;
+                                offset += DISCOVERY_CHUNK_BYTES) {
                             exchange.getResponseBody()
-                                    .write(body, from, Math.min(PIECE, body.length - from));
+                                    .write(
+                                            body,
+                                            offset,
+                                            Math.min(DISCOVERY_CHUNK_BYTES, body.length - offset));
                             exchange.getResponseBody().flush();
                         }
                     } catch (InterruptedException e) {
@@ -131,7 +142,7 @@
         return server;
     }
 
-    private static JsonObject configuration(HttpServer discovery) {
+    private static JsonObject configJson(HttpServer discovery) {
         return new JsonObject()
                 .put("name", "n1")
                 .put("listen", "127.0.0.1:0")
@@ -147,47 +158,47 @@
                                 .put("servers", new JsonArray()));
     }
 
-    private Router limited(int sockets, Span hostIdle) {
+    private Router routerWith(int maxSockets, Span hostIdleTimeout) {
         return new Router(
                         new RouterConfig(
-                                facts.name(),
-                                facts.listen(),
-                                facts.discovery(),
-                                facts.seed(),
-                                sockets,
-                                facts.memoryMb(),
-                                facts.initialHostList(),
-                                facts.deployment(),
-                                facts.names(),
-                                facts.connectTimeout(),
-                                hostIdle,
-                                facts.answerSlack()),
-                        new Log(new PrintStream(log, true)))
+                                config.name(),
+                                config.listen(),
+                                config.discovery(),
+                                config.seed(),
+                                maxSockets,
+                                config.memoryMb(),
+                                config.initialHostList(),
+                                config.deployment(),
+                                config.names(),
+                                config.connectTimeout(),
+                                hostIdleTimeout,
+                                config.answerSlack()),
+                        new Log(new PrintStream(logOutput, true)))
                 .unrehearsed();
     }
 
-    private void begin(Router next) throws Exception {
-        router = next;
+    private void startRouter(Router newRouter) throws Exception {
+        router = newRouter;
         router.start().await(10, TimeUnit.SECONDS);
     }
 
     @AfterEach
-    void stop() throws Exception {
+    void tearDown() throws Exception {
         if (router != null) {
             router.stop().await(10, TimeUnit.SECONDS);
         }
-        for (AutoCloseable each : opened) {
-            each.close();
+        for (AutoCloseable resource : resources) {
+            resource.close();
         }
         discovery.stop(0);
-        threads.shutdownNow();
+        executor.shutdownNow();
     }
 
-    private String list() {
-        return list(2, primary.entry(), replica.entry());
+    private String hostListJson() {
+        return hostListJson(2, primary.discoveryEntry(), replica.discoveryEntry());
     }
 
-    private static String list(int version, JsonObject... entries) {
+    private static String hostListJson(int version, JsonObject... entries) {
         return new JsonObject()
                 .put("version", version)
                 .put("full", true)
@@ -195,59 +206,64 @@
                 .encode();
     }
 
-    /** A client of a router that has heard the list. */
-    private Wire client() throws Exception {
-        lists.add(list());
+    /**
+     * Publishes the list of both hosts, starts the default router unless one is running, and
+     * connects a client.
+     */
+    private PgConnection publishHostsAndConnect() throws Exception {
+        discoveryResponses.add(hostListJson());
         if (router == null) {
-            begin(new Router(facts, new Log(new PrintStream(log, true))).unrehearsed());
+            startRouter(
+                    new Router(config, new Log(new PrintStream(logOutput, true))).unrehearsed());
         }
-        return admitted();
+        return connectClient();
     }
 
-    private Wire admitted() throws IOException {
-        Wire client = connect();
+    private PgConnection connectClient() throws IOException {
+        PgConnection client = openConnection();
         client.send(Encoder.startup("client", "core"), Encoder.query(""));
-        assertThat(client.answer()).isEqualTo("RSSSSZ");
-        assertThat(client.answer()).isEqualTo("IZ");
+        assertThat(client.readResponse()).isEqualTo("RSSSSZ");
+        assertThat(client.readResponse()).isEqualTo("IZ");
         return client;
     }
 
-    private Wire connect() throws IOException {
-        Wire wire = new Wire(new Socket(LOOPBACK, router.port()));
-        opened.add(wire);
-        return wire;
+    private PgConnection openConnection() throws IOException {
+        PgConnection connection = new PgConnection(new Socket(LOOPBACK, router.port()));
+        resources.add(connection);
+        return connection;
     }
 
-    private void readIsServed(Wire client) throws IOException {
-        client.send(ask(READ, 900));
-        assertThat(client.answer()).isEqualTo("TDCZ");
+    private void assertReadSucceeds(PgConnection client) throws IOException {
+        client.send(request(READ_TEMPLATE, 900));
+        assertThat(client.readResponse()).isEqualTo("TDCZ");
     }
 
-    private byte[] ask(String form, long waits) {
-        return Encoder.query(form.formatted(asked++, waits));
+    private byte[] request(String template, long timeLeftMs) {
+        return Encoder.query(template.formatted(nextRequestId++, timeLeftMs));
     }
 
     /**
-     * What a host does with its first request stands before the slash, with later ones after it.
+     * The actions of a host are separated by slashes: one for each request or failed startup in
+     * turn, the last for all that follow.
      */
-    @ParameterizedTest(name = "{0} where the primary does {1} and the replica {2}: {3}")
+    @ParameterizedTest(name = "{0}, primary [{1}], replica [{2}]: {3}")
     @CsvSource({
         "read, row, row, TDCZ",
-        "read, row, full/row, TDCZ",
+        "read, row, overloaded/row, TDCZ",
         "read, row, error/row, TDCZ",
         "read, row, reset/row, TDCZ",
         "read, row, close/row, TDCZ",
-        "read, full, row and close, TDCZ",
-        "write, row and close, miss, TDCZ",
-        "read, row, hang up, TDCZ",
-        "read, row, mute, TDCZ",
-        "read, full, full, E53300 250",
+        "read, overloaded, row and close, TDCZ",
+        "write, row and close, read-only, TDCZ",
+        "read, row, close on startup, TDCZ",
+        "read, row, no startup response, TDCZ",
+        "read, overloaded, overloaded, E53300 250",
         "write, row, row, TDCZ",
-        "write, full/row, row, TDCZ",
-        "write, no room/row, row, TDCZ",
-        "write, babble, row, E53300 200",
-        "write, no room, miss, E53300 200",
-        "write, miss/row, row, TDCZ",
+        "write, overloaded/row, row, TDCZ",
+        "write, refuse startup/row, row, TDCZ",
+        "write, garbage on startup, row, E53300 200",
+        "write, refuse startup, read-only, E53300 200",
+        "write, read-only/row, row, TDCZ",
         "write, error/row, row, E40003",
         "write, reset/row, row, E40003",
         "write, close/row, row, E40003",
@@ -255,29 +271,32 @@
         "read, row, garbage/row, TDCZ",
         "write, two rows/row, row, E40003",
         "read, row, two rows/row, TDCZ",
-        "write, huge/row, row, E40003",
-        "write, half/row, row, E40003",
-        "read, row, half/row, TDCZ",
-        "read, row, tag first/row, TDCZ",
-        "read, row, odd load, TDCZ",
-        "write, silent, row, E40003",
-        "write, full, miss, E53300 200",
-        "write, hang up, miss, E53300 200",
-        "write, mute, miss, E53300 200"
+        "write, oversized/row, row, E40003",
+        "write, truncated/row, row, E40003",
+        "read, row, truncated/row, TDCZ",
+        "read, row, tag without row/row, TDCZ",
+        "read, row, malformed parameter, TDCZ",
+        "write, no response, row, E40003",
+        "write, overloaded, read-only, E53300 200",
+        "write, close on startup, read-only, E53300 200",
+        "write, no startup response, read-only, E53300 200"
     })
-    void eachRpcGetsOneAnswerAndNoNonIdempotentOneRunsTwice(
-            String method, String primarys, String replicas, String answer) throws Exception {
-        primary.acts = primarys.split("/");
-        replica.acts = replicas.split("/");
-        Wire client = client();
-        client.send(ask(method.equals("read") ? READ : WRITE, 800), Encoder.query(""));
-        assertThat(client.answer()).isEqualTo(answer);
-        assertThat(client.answer()).isEqualTo("IZ");
-        assertThat(primary.mayHaveRun + replica.mayHaveRun)
+    void eachRpcGetsOneResponseAndNonIdempotentRpcsRunAtMostOnce(
+            String method, String primaryActions, String replicaActions, String expected)
+            throws Exception {
+        primary.actions = primaryActions.split("/");
+        replica.actions = replicaActions.split("/");
+        PgConnection client = publishHostsAndConnect();
+        client.send(
+                request(method.equals("read") ? READ_TEMPLATE : WRITE_TEMPLATE, 800),
+                Encoder.query(""));
+        assertThat(client.readResponse()).isEqualTo(expected);
+        assertThat(client.readResponse()).isEqualTo("IZ");
+        assertThat(primary.possibleExecutions + replica.possibleExecutions)
                 .isLessThanOrEqualTo(method.equals("read") ? 4 : 1);
         client.send(Encoder.query("SHOW stats"));
-        assertThat(client.answer()).isEqualTo("TDCZ");
-        assertThat(new String(client.lastData, StandardCharsets.UTF_8))
+        assertThat(client.readResponse()).isEqualTo("TDCZ");
+        assertThat(new String(client.lastDataRow, StandardCharsets.UTF_8))
                 .contains("rpcs=1 ")
                 .containsPattern(
                         Map.of(
@@ -287,16 +306,16 @@
                                         "ok=0 pushed_back=1 aborted=0",
                                         '4',
                                         "ok=0 pushed_back=0 aborted=1")
-                                .get(answer.charAt(answer.startsWith("E") ? 1 : 0)));
-        assertThat(log.toString()).doesNotContain("ERROR");
+                                .get(expected.charAt(expected.startsWith("E") ? 1 : 0)));
+        assertThat(logOutput.toString()).doesNotContain("ERROR");
     }
 
     @Test
-    void valueAndStatementPassThroughAndTheTimeLeftIsTold() throws Exception {
-        Wire client = client();
-        client.send(ask(READ, 700));
-        assertThat(client.answer()).isEqualTo("TDCZ");
-        assertThat(client.lastData).endsWith(value);
+    void valueAndStatementAreForwardedWithTheTimeLeft() throws Exception {
+        PgConnection client = publishHostsAndConnect();
+        client.send(request(READ_TEMPLATE, 700));
+        assertThat(client.readResponse()).isEqualTo("TDCZ");
+        assertThat(client.lastDataRow).endsWith(rowValue);
         Statement sent = Statement.parse(replica.requests.take());
         assertThat(sent.text()).isEqualTo("SELECT val FROM state WHERE uid = 'k'");
         assertThat(sent.attributes()).containsEntry("id", "r0").containsEntry("cluster", "2");
@@ -304,20 +323,23 @@
     }
 
     @Test
-    void oneConnectionCarriesManyRequestsAndAnswersComeInOrder() throws Exception {
-        Wire client = client();
+    void hostConnectionsAreReusedAndResponsesComeInOrder() throws Exception {
+        PgConnection client = publishHostsAndConnect();
         for (int i = 0; i < 3; i++) {
-            readIsServed(client);
+            assertReadSucceeds(client);
             Thread.sleep(5);
         }
-        assertThat(replica.connections).isEqualTo(1);
-        client.send(ask(READ, 900), Encoder.query("SHOW stats"), Encoder.query("nonsense"));
-        assertThat(List.of(client.answer(), client.answer(), client.answer()))
+        assertThat(replica.acceptedConnections).isEqualTo(1);
+        client.send(
+                request(READ_TEMPLATE, 900),
+                Encoder.query("SHOW stats"),
+                Encoder.query("nonsense"));
+        assertThat(List.of(client.readResponse(), client.readResponse(), client.readResponse()))
                 .containsExactly("TDCZ", "TDCZ", "E0A000");
-        assertThat(new String(client.lastData, StandardCharsets.UTF_8)).contains("rpcs=4");
+        assertThat(new String(client.lastDataRow, StandardCharsets.UTF_8)).contains("rpcs=4");
     }
 
-    /** Guards against one client's bad bytes taking others along. */
+    /** Guards against malformed input of one client affecting other clients. */
     @ParameterizedTest(name = "{0}: {1}")
     @CsvSource({
         "5100000003, E08P01 closed",
@@ -332,22 +354,23 @@
         "51000000062000, IZ",
         "510000000a2f2a20613d00, E42601"
     })
-    void malformedInputEndsInAnErrorForThatClientAlone(String hex, String answer) throws Exception {
-        Wire other = client();
-        Wire bad = connect();
+    void malformedInputAffectsOnlyTheClientThatSentIt(String hex, String expected)
+            throws Exception {
+        PgConnection other = publishHostsAndConnect();
+        PgConnection bad = openConnection();
         bad.send(Encoder.startup("client", "core"));
-        assertThat(bad.answer()).isEqualTo("RSSSSZ");
+        assertThat(bad.readResponse()).isEqualTo("RSSSSZ");
         bad.send(HexFormat.of().parseHex(hex));
-        long begun = System.nanoTime();
-        assertThat(bad.answer()).isEqualTo(answer);
-        assertThat(System.nanoTime() - begun).isLessThan(TimeUnit.SECONDS.toNanos(3));
-        other = answer.contains("57P05") || answer.equals(" closed") ? admitted() : other;
-        readIsServed(other);
+        long startNanos = System.nanoTime();
+        assertThat(bad.readResponse()).isEqualTo(expected);
+        assertThat(System.nanoTime() - startNanos).isLessThan(TimeUnit.SECONDS.toNanos(3));
+        other = expected.contains("57P05") || expected.equals(" closed") ? connectClient() : other;
+        assertReadSucceeds(other);
     }
 
     /**
-     * Guards against comments that would be taken at their word, and against groups that come to be
-     * by being named.
+     * Guards against statement attributes that are used without validation, and against groups that
+     * are created because a request names them.
      */
     @ParameterizedTest(name = "{0}")
     @ValueSource(
@@ -365,235 +388,250 @@
                 "id=open,c=read,d=9,cluster=2",
                 "id=x,c=read,d=9,id=y,cluster=2"
             })
-    void whatCannotBeTakenIsAnsweredWithAnErrorAndReachesNoHost(String comment) throws Exception {
-        replica.acts = new String[] {"wait"};
-        Wire other = client();
+    void invalidAttributesAreRejectedAndReachNoHost(String comment) throws Exception {
+        replica.actions = new String[] {"row on release"};
+        PgConnection other = publishHostsAndConnect();
         other.send(
                 Encoder.query(
                         "/* id=open,c=read,d=2000,cluster=2 */ SELECT val FROM state WHERE uid = 'k'"));
         replica.requests.take();
-        Wire bad = admitted();
+        PgConnection bad = connectClient();
         bad.send(Encoder.query("/* " + comment + " */ SELECT 2"), Encoder.query(""));
-        assertThat(bad.answer()).isEqualTo("E42601");
-        assertThat(bad.answer()).isEqualTo("IZ");
-        replica.released.countDown();
-        assertThat(other.answer()).isEqualTo("TDCZ");
+        assertThat(bad.readResponse()).isEqualTo("E42601");
+        assertThat(bad.readResponse()).isEqualTo("IZ");
+        replica.release.countDown();
+        assertThat(other.readResponse()).isEqualTo("TDCZ");
         assertThat(replica.requests).isEmpty();
     }
 
     /**
-     * Guards against connections that say nothing and take all descriptors: they give way, known
-     * ones stay.
+     * Guards against connections that send nothing and use up the descriptors: they are closed to
+     * make room for new ones, while connections that have made requests are kept.
      */
     @Test
-    void silentConnectionsGiveWayToThoseThatSpeak() throws Exception {
-        begin(limited(32 + 20, facts.hostIdleTimeout()));
-        Wire known = client();
-        readIsServed(known);
-        List<Wire> silent = new ArrayList<>();
+    void connectionsThatSendNothingAreClosedToMakeRoom() throws Exception {
+        startRouter(routerWith(32 + 20, config.hostIdleTimeout()));
+        PgConnection active = publishHostsAndConnect();
+        assertReadSucceeds(active);
+        List<PgConnection> silent = new ArrayList<>();
         for (int i = 0; i < 60; i++) {
-            silent.add(connect());
+            silent.add(openConnection());
         }
-        Wire late = admitted();
-        for (Wire client : List.of(late, known)) {
-            readIsServed(client);
+        PgConnection newcomer = connectClient();
+        for (PgConnection client : List.of(newcomer, active)) {
+            assertReadSucceeds(client);
         }
-        for (Wire client : silent.subList(0, 48)) {
-            assertThat(client.answer()).isEqualTo(" closed");
+        for (PgConnection client : silent.subList(0, 48)) {
+            assertThat(client.readResponse()).isEqualTo(" closed");
         }
-        assertThat(silent.get(59).answer()).isEqualTo("E57P05 closed");
+        assertThat(silent.get(59).readResponse()).isEqualTo("E57P05 closed");
     }
 
     /**
-     * Guards against what a host sends behind an answer becoming the answer to the next request.
+     * Guards against surplus bytes that a host sends after a response being taken for the response
+     * to the next request.
      */
     @ParameterizedTest
-    @ValueSource(strings = {"row and copy", "row and late copy", "row and noise"})
-    void whatComesBehindAnAnswerIsNoAnswer(String act) throws Exception {
-        replica.acts = new String[] {act, "row"};
-        Wire client = client();
-        readIsServed(client);
-        value = "the next".getBytes(StandardCharsets.UTF_8);
-        readIsServed(client);
-        assertThat(client.lastData).endsWith(value);
-        assertThat(replica.connections).isEqualTo(2);
-    }
-
-    /** Guards against a rehearsal that reaches hosts, or whose answers reach clients. */
+    @ValueSource(strings = {"row and duplicate", "row and late duplicate", "row and garbage"})
+    void surplusBytesAreNotTheNextResponse(String action) throws Exception {
+        replica.actions = new String[] {action, "row"};
+        PgConnection client = publishHostsAndConnect();
+        assertReadSucceeds(client);
+        rowValue = "next row".getBytes(StandardCharsets.UTF_8);
+        assertReadSucceeds(client);
+        assertThat(client.lastDataRow).endsWith(rowValue);
+        assertThat(replica.acceptedConnections).isEqualTo(2);
+    }
+
+    /**
+     * Guards against warm-up requests that reach hosts or count as requests of clients, and against
+     * a client that gets a warm-up response because its request id has the same prefix.
+     */
     @Test
-    void theRehearsalStaysInside() throws Exception {
-        begin(new Router(facts, new Log(new PrintStream(log, true))));
-        Wire client = client();
+    void warmUpRequestsReachNeitherHostsNorClients() throws Exception {
+        startRouter(new Router(config, new Log(new PrintStream(logOutput, true))));
+        PgConnection client = publishHostsAndConnect();
         client.send(
                 Encoder.query("/* id=rehearsal-1,c=0,d=9,cluster=0 */ SELECT 1"),
                 Encoder.query("SHOW stats"));
-        assertThat(client.answer()).isEqualTo("E42601");
-        assertThat(client.answer()).isEqualTo("TDCZ");
-        assertThat(new String(client.lastData, StandardCharsets.UTF_8))
+        assertThat(client.readResponse()).isEqualTo("E42601");
+        assertThat(client.readResponse()).isEqualTo("TDCZ");
+        assertThat(new String(client.lastDataRow, StandardCharsets.UTF_8))
                 .contains("rpcs=0 ", "call_outs=0 ");
-        assertThat(primary.connections + replica.connections).isZero();
-        assertThat(log.toString()).containsPattern("INFO rehearsed rpcs=[1-9]");
+        assertThat(primary.acceptedConnections + replica.acceptedConnections).isZero();
+        assertThat(logOutput.toString()).containsPattern("INFO rehearsed rpcs=[1-9]");
     }
 
-    /** Guards against news of the old address, late or held back, that overrules the new one's. */
+    /**
+     * Guards against a response from the previous discovery address that arrives after the reload
+     * and replaces the host list of the new address.
+     */
     @Test
-    void aReloadMovesTheWatchAndLeavesWhatTheOldOneSays() throws Exception {
-        Wire client = client();
-        readIsServed(client);
-        StandInHost third = new StandInHost("replica");
-        BlockingQueue<String> news = new LinkedBlockingQueue<>();
-        HttpServer next = discovery(news);
-        news.add(list(1, primary.entry(), third.entry().put("id", "third")));
-        router.reload(RouterConfig.read(configuration(next))).await(10, TimeUnit.SECONDS);
-        while (third.requests.isEmpty()) {
-            readIsServed(client);
+    void reloadSwitchesDiscoveryAndIgnoresThePreviousAddress() throws Exception {
+        PgConnection client = publishHostsAndConnect();
+        assertReadSucceeds(client);
+        ScriptedHost newReplica = new ScriptedHost("replica");
+        BlockingQueue<String> newResponses = new LinkedBlockingQueue<>();
+        HttpServer newDiscovery = startDiscovery(newResponses);
+        newResponses.add(
+                hostListJson(
+                        1,
+                        primary.discoveryEntry(),
+                        newReplica.discoveryEntry().put("id", "third")));
+        router.reload(RouterConfig.read(configJson(newDiscovery))).await(10, TimeUnit.SECONDS);
+        while (newReplica.requests.isEmpty()) {
+            assertReadSucceeds(client);
         }
-        lists.add(list(9, primary.entry(), replica.entry()));
+        discoveryResponses.add(hostListJson(9, primary.discoveryEntry(), replica.discoveryEntry()));
         replica.requests.clear();
         for (int i = 0; i < 5; i++) {
-            readIsServed(client);
+            assertReadSucceeds(client);
         }
         assertThat(replica.requests).isEmpty();
-        next.stop(0);
+        newDiscovery.stop(0);
     }
 
     /**
-     * Guards against a request that crosses its host's closing of an idle connection, and may have
-     * run.
+     * Guards against a request that is sent while its host closes the idle connection: the router
+     * cannot tell whether it ran.
      */
     @Test
-    void connectionsToHostsAreClosedBeforeTheirHostsCloseThem() throws Exception {
-        begin(limited(facts.maxSockets(), Span.ofMillis(200)));
-        Wire client = client();
-        readIsServed(client);
-        assertThat(replica.ends.take()).isEqualTo("closed by the router");
-        readIsServed(client);
-        assertThat(replica.connections).isEqualTo(2);
+    void idleHostConnectionsAreClosedByTheRouter() throws Exception {
+        startRouter(routerWith(config.maxSockets(), Span.ofMillis(200)));
+        PgConnection client = publishHostsAndConnect();
+        assertReadSucceeds(client);
+        assertThat(replica.connectionEnds.take()).isEqualTo("closed by the router");
+        assertReadSucceeds(client);
+        assertThat(replica.acceptedConnections).isEqualTo(2);
     }
 
-    /** Of four sockets two are for clients, one is for one that comes, and one is for hosts. */
+    /**
+     * Of the four descriptors above the reserve, two are for clients, one is for a client that is
+     * being accepted, and one is for hosts.
+     */
     @Test
-    void whereSocketsAreShortIdleConnectionsGiveWay() throws Exception {
-        begin(limited(32 + 4, facts.hostIdleTimeout()));
-        Wire first = client();
-        Wire second = admitted();
-        readIsServed(second);
-        second.send(ask(WRITE, 900));
-        assertThat(second.answer()).isEqualTo("TDCZ");
-        Wire third = admitted();
-        assertThat(first.answer()).isEqualTo(" closed");
-        readIsServed(third);
-        assertThat(replica.ends.take()).isEqualTo("closed by the router");
+    void idleConnectionsAreClosedWhenDescriptorsRunOut() throws Exception {
+        startRouter(routerWith(32 + 4, config.hostIdleTimeout()));
+        PgConnection first = publishHostsAndConnect();
+        PgConnection second = connectClient();
+        assertReadSucceeds(second);
+        second.send(request(WRITE_TEMPLATE, 900));
+        assertThat(second.readResponse()).isEqualTo("TDCZ");
+        PgConnection third = connectClient();
+        assertThat(first.readResponse()).isEqualTo(" closed");
+        assertReadSucceeds(third);
+        assertThat(replica.connectionEnds.take()).isEqualTo("closed by the router");
     }
 
     /**
-     * Guards against a client that asks without end and waits for no answer: it is read as it is
-     * answered.
+     * Guards against a client that pipelines requests without limit: the router reads at most 16
+     * ahead and continues as it responds.
      */
     @Test
-    void aClientFarAheadOfItsAnswersIsNotReadFrom() throws Exception {
-        replica.acts = new String[] {"wait"};
-        primary.acts = replica.acts;
-        Wire client = client();
-        Wire other = admitted();
+    void pipelinedRequestsAreReadUpToALimit() throws Exception {
+        replica.actions = new String[] {"row on release"};
+        primary.actions = replica.actions;
+        PgConnection client = publishHostsAndConnect();
+        PgConnection other = connectClient();
         client.send(
                 Collections.nCopies(20, 0).stream()
-                        .map(i -> ask(READ, 5_000))
+                        .map(i -> request(READ_TEMPLATE, 5_000))
                         .toArray(byte[][]::new));
         do {
             other.send(Encoder.query("SHOW stats"));
-            other.answer();
-        } while (!new String(other.lastData, StandardCharsets.UTF_8).contains("rpcs=16 "));
-        replica.released.countDown();
-        primary.released.countDown();
+            other.readResponse();
+        } while (!new String(other.lastDataRow, StandardCharsets.UTF_8).contains("rpcs=16 "));
+        replica.release.countDown();
+        primary.release.countDown();
         for (int i = 0; i < 20; i++) {
-            assertThat(client.answer()).isIn("TDCZ", "E53300 250");
+            assertThat(client.readResponse()).isIn("TDCZ", "E53300 250");
         }
     }
 
     @Test
-    void whatCameBeforeMalformedInputIsStillAnswered() throws Exception {
-        replica.acts = new String[] {"wait"};
-        Wire client = client();
-        client.send(ask(READ, 2_000), HexFormat.of().parseHex("3f00000004"));
+    void requestsBeforeMalformedInputAreAnswered() throws Exception {
+        replica.actions = new String[] {"row on release"};
+        PgConnection client = publishHostsAndConnect();
+        client.send(request(READ_TEMPLATE, 2_000), HexFormat.of().parseHex("3f00000004"));
         replica.requests.take();
-        replica.released.countDown();
-        assertThat(client.answer()).isEqualTo("TDCZ");
-        assertThat(client.answer()).isEqualTo("E08P01 closed");
+        replica.release.countDown();
+        assertThat(client.readResponse()).isEqualTo("TDCZ");
+        assertThat(client.readResponse()).isEqualTo("E08P01 closed");
     }
 
-    /** Values may have 64 KiB: in hexadecimal in a statement, as they are in an answer. */
+    /** Values may have 64 KiB, hexadecimal in a statement and binary in a response. */
     @Test
-    void largeValuesPassThroughBothWays() throws Exception {
-        value = new byte[64 * 1024];
-        new SplittableRandom(1).nextBytes(value);
+    void largeValuesAreForwardedInBothDirections() throws Exception {
+        rowValue = new byte[64 * 1024];
+        new SplittableRandom(1).nextBytes(rowValue);
         String statement =
                 "INSERT INTO state (uid, val) VALUES ('k', '\\x"
-                        + HexFormat.of().formatHex(value)
+                        + HexFormat.of().formatHex(rowValue)
                         + "')";
-        Wire client = client();
-        client.send(ask("/* id=r%d,c=write,d=%d,cluster=2 */ " + statement, 2_000));
-        assertThat(client.answer()).isEqualTo("TDCZ");
-        assertThat(client.lastData).endsWith(value).hasSize(6 + value.length);
+        PgConnection client = publishHostsAndConnect();
+        client.send(request("/* id=r%d,c=write,d=%d,cluster=2 */ " + statement, 2_000));
+        assertThat(client.readResponse()).isEqualTo("TDCZ");
+        assertThat(client.lastDataRow).endsWith(rowValue).hasSize(6 + rowValue.length);
         assertThat(primary.requests.take()).endsWith(statement);
     }
 
     @Test
-    void aClientThatLeavesCallsItsRpcOff() throws Exception {
-        primary.acts = new String[] {"silent"};
-        replica.acts = new String[] {"silent"};
-        Wire client = client();
-        client.send(ask(READ, 900));
+    void disconnectingClientCancelsItsRpc() throws Exception {
+        primary.actions = new String[] {"no response"};
+        replica.actions = new String[] {"no response"};
+        PgConnection client = publishHostsAndConnect();
+        client.send(request(READ_TEMPLATE, 900));
         assertThat(replica.requests.take()).contains("id=r0");
         client.close();
-        assertThat(replica.ends.take()).isEqualTo("closed by the router");
+        assertThat(replica.connectionEnds.take()).isEqualTo("closed by the router");
     }
 
     @Test
-    void drainingServesWhatCameAndClosesBetweenRequests() throws Exception {
-        replica.acts = new String[] {"wait"};
-        Wire busy = client();
-        Wire idle = admitted();
-        busy.send(ask(READ, 2_000));
+    void drainCompletesOpenRpcsAndClosesIdleClients() throws Exception {
+        replica.actions = new String[] {"row on release"};
+        PgConnection busy = publishHostsAndConnect();
+        PgConnection idle = connectClient();
+        busy.send(request(READ_TEMPLATE, 2_000));
         replica.requests.take();
         Future<Void> drained = router.drain();
-        assertThat(idle.answer()).isEqualTo(" closed");
+        assertThat(idle.readResponse()).isEqualTo(" closed");
         assertThat(drained.isComplete()).isFalse();
-        replica.released.countDown();
-        assertThat(busy.answer()).isEqualTo("TDCZ");
-        assertThat(busy.answer()).isEqualTo(" closed");
+        replica.release.countDown();
+        assertThat(busy.readResponse()).isEqualTo("TDCZ");
+        assertThat(busy.readResponse()).isEqualTo(" closed");
         drained.await(10, TimeUnit.SECONDS);
     }
 
     /**
-     * Guards against an RPC that was taken before the end was asked for, and whose client waits
-     * longer than the process may live: it was lost with the process, where its call-out was out as
-     * where it was held.
+     * Guards against an RPC that arrives before the drain begins and whose deadline is after the
+     * end of the process: it was lost when the process ended, whether its call-out was in flight or
+     * it was held without one.
      */
-    @ParameterizedTest(name = "at a primary that does {0}: {1}")
-    @CsvSource({"silent, E40003", "miss, E53300 200"})
-    void drainingAnswersWhatWouldOutliveTheProcess(String act, String answer) throws Exception {
-        primary.acts = new String[] {act};
-        replica.acts = new String[] {"miss"};
-        Wire client = client();
-        client.send(ask(WRITE, 7_900));
+    @ParameterizedTest(name = "primary [{0}]: {1}")
+    @CsvSource({"no response, E40003", "read-only, E53300 200"})
+    void drainAnswersRpcsWithDeadlinesAfterTheEndOfTheProcess(String action, String expected)
+            throws Exception {
+        primary.actions = new String[] {action};
+        replica.actions = new String[] {"read-only"};
+        PgConnection client = publishHostsAndConnect();
+        client.send(request(WRITE_TEMPLATE, 7_900));
         primary.requests.take();
-        Future<Void> ended = router.drain().compose(nothing -> router.stop());
-        assertThat(client.answer()).startsWith(answer);
-        ended.await(10, TimeUnit.SECONDS);
+        Future<Void> stopped = router.drain().compose(ignored -> router.stop());
+        assertThat(client.readResponse()).startsWith(expected);
+        stopped.await(10, TimeUnit.SECONDS);
         router = null;
     }
 
     /**
-     * 1,024 hosts and routers, and far fewer descriptors than hosts: the list comes whole though in
-     * pieces, each group is served, and connections are closed in turn.
+     * With 1,024 hosts, 1,024 routers and far fewer descriptors than hosts, the chunked host list
+     * is read completely, every group is served, and host connections are closed to open others.
      */
     @Test
-    void aLongListIsServedWholeWithFewDescriptors() throws Exception {
+    void largeHostListIsServedWithFewDescriptors() throws Exception {
         JsonObject settings = SETTINGS.copy().put("peers_total", 1_024);
-        facts =
+        config =
                 RouterConfig.read(
-                        configuration(discovery)
+                        configJson(discovery)
                                 .put("settings", settings)
                                 .put("limits", new JsonObject().put("sockets", 96)));
         JsonObject[] entries =
@@ -601,56 +639,59 @@
                         .mapToObj(
                                 i ->
                                         (i % 4 == 0 ? primary : replica)
-                                                .entry()
+                                                .discoveryEntry()
                                                 .put("id", "h" + i)
                                                 .put("cell", i / 4))
                         .toArray(JsonObject[]::new);
-        lists.add(list(2, entries));
-        begin(new Router(facts, new Log(new PrintStream(log, true))).unrehearsed());
-        Wire client = admitted();
+        discoveryResponses.add(hostListJson(2, entries));
+        startRouter(new Router(config, new Log(new PrintStream(logOutput, true))).unrehearsed());
+        PgConnection client = connectClient();
         for (int group = 0; group < 256; group++) {
-            for (String form : List.of(READ, WRITE)) {
+            for (String template : List.of(READ_TEMPLATE, WRITE_TEMPLATE)) {
                 client.send(
                         Encoder.query(
-                                form.formatted(asked++, 1_900)
+                                template.formatted(nextRequestId++, 1_900)
                                         .replace("cluster=2", "cluster=" + group)));
-                assertThat(client.answer()).as("%s of group %d", form, group).isEqualTo("TDCZ");
+                assertThat(client.readResponse())
+                        .as("%s of group %d", template, group)
+                        .isEqualTo("TDCZ");
             }
         }
-        assertThat(log.toString()).doesNotContain("no_socket", "no_descriptor", "discovery_failed");
+        assertThat(logOutput.toString())
+                .doesNotContain("no_socket", "no_descriptor", "discovery_failed");
         assertThat(router.counters().read().get("host_connections")).isGreaterThan(500);
     }
 
-    /** Guards against an answer of discovery, or none, that stops the router from asking again. */
+    /** Guards against a failed discovery request after which the router makes no other. */
     @ParameterizedTest
     @ValueSource(
             strings = {
                 "nonsense",
                 "{}",
                 "{\"version\":7,\"servers\":[{\"id\":\"x\"}]}",
-                CUT,
-                SILENT
+                CLOSE,
+                NO_RESPONSE
             })
-    void discoveryIsAskedAgainWhateverItAnswers(String answer) throws Exception {
-        lists.add(answer);
-        Wire client = client();
-        String last = "";
-        while (!last.equals("TDCZ")) {
-            client.send(ask(READ, 900));
-            last = client.answer();
+    void discoveryIsRetriedAfterAFailure(String response) throws Exception {
+        discoveryResponses.add(response);
+        PgConnection client = publishHostsAndConnect();
+        String readResult = "";
+        while (!readResult.equals("TDCZ")) {
+            client.send(request(READ_TEMPLATE, 900));
+            readResult = client.readResponse();
         }
-        assertThat(log.toString())
+        assertThat(logOutput.toString())
                 .containsOnlyOnce("discovery_failed")
                 .containsOnlyOnce("discovery_back");
     }
 
     /**
-     * Guards against a defect of the module: what it concerns is aborted, once, and told with its
-     * place.
+     * Guards against an RPC that stays unanswered because of a defect in the decision module: it is
+     * aborted, and the fault is logged once with its location.
      */
     @ParameterizedTest(name = "a module that {0}")
-    @CsvSource({"throws, UnsupportedOperationException", "forgets, IllegalStateException"})
-    void anRpcThatADefectConcernsIsStillAnswered(String defect, String told) throws Exception {
+    @CsvSource({"throws, UnsupportedOperationException", "never responds, IllegalStateException"})
+    void moduleDefectAbortsTheRpcAndIsLogged(String defect, String expectedLog) throws Exception {
         InvocationHandler module =
                 (proxy, method, arguments) -> {
                     if (method.getName().equals("onRpcArrived") && defect.equals("throws")) {
@@ -658,69 +699,71 @@
                     }
                     return method.getName().equals("group") ? new Group(2) : null;
                 };
-        begin(
+        startRouter(
                 new Router(
-                        facts,
-                        new Log(new PrintStream(log, true)),
+                        config,
+                        new Log(new PrintStream(logOutput, true)),
                         outbound ->
                                 (Inbound)
                                         Proxy.newProxyInstance(
                                                 getClass().getClassLoader(),
                                                 new Class<?>[] {Inbound.class},
                                                 module)));
-        Wire client = client();
-        client.send(ask(READ, 100), Encoder.query(""));
-        assertThat(client.answer()).isEqualTo("E40003");
-        assertThat(client.answer()).isEqualTo("IZ");
-        assertThat(log.toString()).containsOnlyOnce("ERROR fault").contains(told, "at=ironwind");
+        PgConnection client = publishHostsAndConnect();
+        client.send(request(READ_TEMPLATE, 100), Encoder.query(""));
+        assertThat(client.readResponse()).isEqualTo("E40003");
+        assertThat(client.readResponse()).isEqualTo("IZ");
+        assertThat(logOutput.toString())
+                .containsOnlyOnce("ERROR fault")
+                .contains(expectedLog, "at=ironwind");
     }
 
     /**
-     * Guards against a wait behind a loop that stood still being taken for one in a crowd: nothing
-     * else is held up.
+     * Guards against mistaking the time that a request waited for a blocked event loop for queueing
+     * under overload, although no other request is waiting.
      */
     @Test
-    void whatWasReadBehindALoopThatStoodStillIsServedInWhatIsLeftOfItsTime() throws Exception {
-        CountDownLatch stands = new CountDownLatch(1);
-        begin(
+    void requestsAreServedInTheTimeLeftAfterTheEventLoopWasBlocked() throws Exception {
+        CountDownLatch loopBlocked = new CountDownLatch(1);
+        startRouter(
                 new Router(
-                                facts,
-                                new Log(new PrintStream(log, true)),
+                                config,
+                                new Log(new PrintStream(logOutput, true)),
                                 outbound -> {
                                     Inbound logic =
-                                            new Logic(facts.deployment(), facts.seed(), outbound);
+                                            new Logic(config.deployment(), config.seed(), outbound);
                                     return (Inbound)
                                             Proxy.newProxyInstance(
                                                     getClass().getClassLoader(),
                                                     new Class<?>[] {Inbound.class},
                                                     (proxy, method, arguments) -> {
                                                         if (method.getName().equals("onRpcArrived")
-                                                                && stands.getCount() > 0) {
-                                                            stands.countDown();
+                                                                && loopBlocked.getCount() > 0) {
+                                                            loopBlocked.countDown();
                                                             Thread.sleep(600);
                                                         }
                                                         return method.invoke(logic, arguments);
                                                     });
                                 })
                         .unrehearsed());
-        Wire first = client();
-        Wire second = admitted();
-        first.send(ask(READ, 1_900));
-        stands.await();
-        second.send(ask(READ, 1_900));
-        assertThat(first.answer()).isEqualTo("TDCZ");
-        assertThat(second.answer()).isEqualTo("TDCZ");
-        assertThat(log.toString()).contains("loop_stood");
-    }
-
-    /** One end of a connection, read message by message. */
-    private static final class Wire implements AutoCloseable {
+        PgConnection first = publishHostsAndConnect();
+        PgConnection second = connectClient();
+        first.send(request(READ_TEMPLATE, 1_900));
+        loopBlocked.await();
+        second.send(request(READ_TEMPLATE, 1_900));
+        assertThat(first.readResponse()).isEqualTo("TDCZ");
+        assertThat(second.readResponse()).isEqualTo("TDCZ");
+        assertThat(logOutput.toString()).contains("loop_stood");
+    }
+
+    /** Client or host end of a connection, read message by message. */
+    private static final class PgConnection implements AutoCloseable {
         private final Socket socket;
-        private final FrameDecoder frames =
+        private final FrameDecoder decoder =
                 new FrameDecoder(false, HostMessage.TYPES + ClientMessage.TYPES, 1 << 20);
-        private byte[] lastData;
+        private byte[] lastDataRow;
 
-        Wire(Socket socket) {
+        PgConnection(Socket socket) {
             this.socket = socket;
         }
 
@@ -730,37 +773,46 @@
             }
         }
 
-        /** The next message, or null at the end. */
-        Frame next() throws IOException {
+        /** Returns the next message, or null at the end of the stream. */
+        Frame readFrame() throws IOException {
             byte[] buffer = new byte[4_096];
-            for (Frame frame = frames.next(); ; frame = frames.next()) {
+            for (Frame frame = decoder.next(); ; frame = decoder.next()) {
                 if (frame != null) {
                     return frame;
                 }
-                int read = socket.getInputStream().read(buffer);
-                if (read < 0) {
+                int count = socket.getInputStream().read(buffer);
+                if (count < 0) {
                     return null;
                 }
-                frames.add(Arrays.copyOf(buffer, read));
+                decoder.add(Arrays.copyOf(buffer, count));
             }
         }
 
-        /** The letters of the messages up to ReadyForQuery, or an error's code and detail. */
-        String answer() throws IOException {
-            StringBuilder letters = new StringBuilder();
+        /**
+         * Reads up to ReadyForQuery or the end of the stream.
+         *
+         * @return the types of the messages, or after an error "E" with its SQLSTATE and detail,
+         *     followed by " closed" at the end of the stream
+         */
+        String readResponse() throws IOException {
+            StringBuilder types = new StringBuilder();
             String error = null;
-            for (Frame frame = next(); ; frame = next()) {
+            for (Frame frame = readFrame(); ; frame = readFrame()) {
                 if (frame == null) {
-                    return (error == null ? letters : error) + " closed";
+                    return (error == null ? types : error) + " closed";
                 }
-                letters.append(frame.type());
+                types.append(frame.type());
                 if (frame.type() == 'D') {
-                    lastData = frame.body();
-                } else if (HostMessage.decode(frame) instanceof HostMessage.ErrorResponse failed) {
-                    String detail = failed.error().detail();
-                    error = "E" + failed.error().sqlState() + (detail == null ? "" : " " + detail);
+                    lastDataRow = frame.body();
+                } else if (HostMessage.decode(frame)
+                        instanceof HostMessage.ErrorResponse response) {
+                    String detail = response.error().detail();
+                    error =
+                            "E"
+                                    + response.error().sqlState()
+                                    + (detail == null ? "" : " " + detail);
                 } else if (frame.type() == 'Z') {
-                    return error == null ? letters.toString() : error;
+                    return error == null ? types.toString() : error;
                 }
             }
         }
@@ -771,39 +823,39 @@
         }
     }
 
-    /** A host that does as it is told, request by request. */
-    private final class StandInHost {
-        private final ServerSocket server = new ServerSocket(0, 50, LOOPBACK);
+    /** A host that performs a scripted action for each request. */
+    private final class ScriptedHost {
+        private final ServerSocket serverSocket = new ServerSocket(0, 50, LOOPBACK);
         private final String role;
         private final BlockingQueue<String> requests = new LinkedBlockingQueue<>();
-        private final BlockingQueue<String> ends = new LinkedBlockingQueue<>();
-        private final CountDownLatch released = new CountDownLatch(1);
-        private volatile String[] acts = {"row"};
-        private volatile int connections;
-        private volatile int mayHaveRun;
-        private int done;
-
-        StandInHost(String role) throws IOException {
+        private final BlockingQueue<String> connectionEnds = new LinkedBlockingQueue<>();
+        private final CountDownLatch release = new CountDownLatch(1);
+        private volatile String[] actions = {"row"};
+        private volatile int acceptedConnections;
+        private volatile int possibleExecutions;
+        private int nextAction;
+
+        ScriptedHost(String role) throws IOException {
             this.role = role;
-            opened.add(server);
-            threads.submit(
+            resources.add(serverSocket);
+            executor.submit(
                     () -> {
-                        while (!server.isClosed()) {
-                            Socket socket = server.accept();
-                            // It writes in pieces: else each answer would wait 40 ms for an
-                            // acknowledgement.
+                        while (!serverSocket.isClosed()) {
+                            Socket socket = serverSocket.accept();
+                            // A response is written in several parts. With Nagle's algorithm it
+                            // would wait 40 ms for a delayed acknowledgement.
                             socket.setTcpNoDelay(true);
-                            connections++;
-                            threads.submit(() -> serve(socket));
+                            acceptedConnections++;
+                            executor.submit(() -> serveConnection(socket));
                         }
                         return null;
                     });
         }
 
-        JsonObject entry() {
+        JsonObject discoveryEntry() {
             return new JsonObject()
                     .put("id", role)
-                    .put("addr", "127.0.0.1:" + server.getLocalPort())
+                    .put("addr", "127.0.0.1:" + serverSocket.getLocalPort())
                     .put("zone", "north")
                     .put("kind", "plain")
                     .put("cell", 2)
@@ -813,123 +865,137 @@
                     .put("role", role);
         }
 
-        private synchronized String act(boolean next) {
-            String act = acts[Math.min(done, acts.length - 1)];
-            done += next ? 1 : 0;
-            return act;
+        private synchronized String currentAction(boolean advance) {
+            String action = actions[Math.min(nextAction, actions.length - 1)];
+            nextAction += advance ? 1 : 0;
+            return action;
         }
 
-        private Void serve(Socket socket) throws Exception {
+        private Void serveConnection(Socket socket) throws Exception {
             try (socket) {
-                Wire wire = new Wire(socket);
+                PgConnection connection = new PgConnection(socket);
                 socket.getInputStream().readNBytes(Encoder.startup("client", "core").length);
-                if (List.of("hang up", "no room", "babble").contains(act(false))) {
-                    switch (act(true)) {
-                        case "no room" ->
-                                wire.send(
+                if (List.of("close on startup", "refuse startup", "garbage on startup")
+                        .contains(currentAction(false))) {
+                    switch (currentAction(true)) {
+                        case "refuse startup" ->
+                                connection.send(
                                         Encoder.fatalError(
-                                                new PgError("53300", "no connection left", null)));
-                        case "babble" ->
-                                wire.send("what is this?".getBytes(StandardCharsets.UTF_8));
+                                                new PgError(
+                                                        "53300", "too many connections", null)));
+                        case "garbage on startup" ->
+                                connection.send("what is this?".getBytes(StandardCharsets.UTF_8));
                         default -> {}
                     }
                     return null;
                 }
-                if (!act(false).equals("mute")) {
-                    wire.send(Encoder.startupResponse());
+                if (!currentAction(false).equals("no startup response")) {
+                    connection.send(Encoder.startupResponse());
                 }
-                for (Frame frame = wire.next(); frame != null; frame = wire.next()) {
+                for (Frame frame = connection.readFrame();
+                        frame != null;
+                        frame = connection.readFrame()) {
                     String sql =
                             new String(
                                     frame.body(),
                                     0,
                                     frame.body().length - 1,
                                     StandardCharsets.ISO_8859_1);
-                    if (frame.type() != 'Q' || !answered(wire, sql)) {
+                    if (frame.type() != 'Q' || !handleStatement(connection, sql)) {
                         return null;
                     }
                 }
-                ends.add("closed by the router");
+                connectionEnds.add("closed by the router");
             }
             return null;
         }
 
-        /** Whether the connection stays open. */
-        private boolean answered(Wire wire, String sql) throws Exception {
+        /** Handles one statement and returns whether the connection stays open. */
+        private boolean handleStatement(PgConnection connection, String sql) throws Exception {
             if (sql.startsWith("SELECT 1")) {
-                wire.send(Encoder.row(Row.ofText("one", "1")));
+                connection.send(Encoder.row(Row.ofText("one", "1")));
                 return true;
             }
-            String act = act(true);
-            mayHaveRun += List.of("full", "miss").contains(act) ? 0 : 1;
+            String action = currentAction(true);
+            possibleExecutions += List.of("overloaded", "read-only").contains(action) ? 0 : 1;
             requests.add(sql);
-            switch (act) {
-                case "row" -> row(wire, Encoder.readyForQuery());
-                case "row and close" -> row(wire);
-                case "wait" -> {
-                    released.await();
-                    row(wire, Encoder.readyForQuery());
+            switch (action) {
+                case "row" -> sendRow(connection, Encoder.readyForQuery());
+                case "row and close" -> sendRow(connection);
+                case "row on release" -> {
+                    release.await();
+                    sendRow(connection, Encoder.readyForQuery());
                 }
-                case "full" -> wire.send(Encoder.errorAndReady(new PgError("53300", "full", null)));
-                case "miss" ->
-                        wire.send(Encoder.errorAndReady(new PgError("25006", "no primary", null)));
+                case "overloaded" ->
+                        connection.send(
+                                Encoder.errorAndReady(new PgError("53300", "overloaded", null)));
+                case "read-only" ->
+                        connection.send(
+                                Encoder.errorAndReady(new PgError("25006", "read-only", null)));
                 case "error" ->
-                        wire.send(Encoder.errorAndReady(new PgError("XX000", "broken", null)));
+                        connection.send(
+                                Encoder.errorAndReady(
+                                        new PgError("XX000", "internal error", null)));
                 case "two rows" -> {
-                    byte[] whole = Encoder.row(Row.ofText("val", "x"));
-                    wire.send(Arrays.copyOf(whole, whole.length - 6 - 14));
-                    wire.send(Encoder.row(Row.ofText("val", "y")));
+                    byte[] messages = Encoder.row(Row.ofText("val", "x"));
+                    connection.send(Arrays.copyOf(messages, messages.length - 6 - 14));
+                    connection.send(Encoder.row(Row.ofText("val", "y")));
                 }
-                case "tag first" ->
-                        wire.send(HexFormat.of().parseHex("430000000d53454c454354203100"));
-                case "huge" -> wire.send(HexFormat.of().parseHex("44b2d05e00"));
-                case "half" -> wire.send(HexFormat.of().parseHex("5400000020"));
-                case "odd load" ->
-                        row(
-                                wire,
+                case "tag without row" ->
+                        connection.send(HexFormat.of().parseHex("430000000d53454c454354203100"));
+                case "oversized" -> connection.send(HexFormat.of().parseHex("44b2d05e00"));
+                case "truncated" -> connection.send(HexFormat.of().parseHex("5400000020"));
+                case "malformed parameter" ->
+                        sendRow(
+                                connection,
                                 HexFormat.of().parseHex("53000000086c6f6164"),
                                 Encoder.readyForQuery());
-                case "row and copy" -> {
-                    row(wire, Encoder.readyForQuery());
-                    row(wire, Encoder.readyForQuery());
+                case "row and duplicate" -> {
+                    sendRow(connection, Encoder.readyForQuery());
+                    sendRow(connection, Encoder.readyForQuery());
                 }
-                case "row and late copy" -> {
-                    row(wire, Encoder.readyForQuery());
+                case "row and late duplicate" -> {
+                    sendRow(connection, Encoder.readyForQuery());
                     Thread.sleep(1);
-                    row(wire, Encoder.readyForQuery());
+                    sendRow(connection, Encoder.readyForQuery());
                 }
-                case "row and noise" ->
-                        row(
-                                wire,
+                case "row and garbage" ->
+                        sendRow(
+                                connection,
                                 Encoder.readyForQuery(),
                                 "noise".getBytes(StandardCharsets.UTF_8));
-                case "garbage" -> wire.send("what is this?".getBytes(StandardCharsets.UTF_8));
-                case "reset" -> wire.socket.setSoLinger(true, 0);
+                case "garbage" -> connection.send("what is this?".getBytes(StandardCharsets.UTF_8));
+                case "reset" -> connection.socket.setSoLinger(true, 0);
                 default -> {}
             }
-            return !List.of("reset", "close", "row and close").contains(act);
+            return !List.of("reset", "close", "row and close").contains(action);
         }
 
-        private void row(Wire wire, byte[]... end) throws IOException {
-            byte[] whole =
-                    Encoder.row(new Row(Row.ofText("val", "").description(), data(), "SELECT 1"));
-            int ready = whole.length - Encoder.readyForQuery().length;
-            wire.send(
-                    Arrays.copyOf(whole, ready),
-                    parameter("role", role),
-                    parameter("applied_ms", Long.toString(System.currentTimeMillis())));
-            wire.send(end);
+        /** Sends a row without its ReadyForQuery, followed by the given trailer. */
+        private void sendRow(PgConnection connection, byte[]... trailer) throws IOException {
+            byte[] messages =
+                    Encoder.row(
+                            new Row(
+                                    Row.ofText("val", "").description(),
+                                    dataRowBody(),
+                                    "SELECT 1"));
+            int readyOffset = messages.length - Encoder.readyForQuery().length;
+            connection.send(
+                    Arrays.copyOf(messages, readyOffset),
+                    parameterStatus("role", role),
+                    parameterStatus("applied_ms", Long.toString(System.currentTimeMillis())));
+            connection.send(trailer);
         }
 
-        private byte[] data() {
-            return ByteBuffer.allocate(6 + value.length)
+        private byte[] dataRowBody() {
+            return ByteBuffer.allocate(6 + rowValue.length)
                     .putShort((short) 1)
-                    .putInt(value.length)
-                    .put(value)
+                    .putInt(rowValue.length)
+                    .put(rowValue)
                     .array();
         }
 
-        private byte[] parameter(String name, String value) {
+        private byte[] parameterStatus(String name, String value) {
             byte[] text = (name + "\0" + value + "\0").getBytes(StandardCharsets.UTF_8);
             return ByteBuffer.allocate(5 + text.length)
                     .put((byte) 'S')
