--- a/lab/src/test/java/ironwind/lab/IdleRouterTest.java
+++ b/lab/src/test/java/ironwind/lab/IdleRouterTest.java
@@ -44,8 +44,10 @@
             """
             {"period_us":5000,"peers_total":1,"zones":["north"],"kinds":["plain"],
              "tenants":[{"name":"one","quota_rps":0},{"name":"two","quota_rps":0}],
-             "lanes":[{"name":"read","effect":"retryable","deadline_us":8000000,"goal_time_us":4000000,"worth":2.0},
-                      {"name":"write","effect":"fragile","deadline_us":8000000,"goal_time_us":4000000,"worth":6.0}],
+             "lanes":[{"name":"read","effect":"retryable","deadline_us":8000000,"goal_time_us":4000000,\
+            "worth":2.0},
+                      {"name":"write","effect":"fragile","deadline_us":8000000,"goal_time_us":4000000,\
+            "worth":6.0}],
              "extra":{"read_level":["loose","update"],"when_behind":"off"},
              "caps":{"cancel":true,"may_probe":true,"parallel_tries":false,"most_tries":2,"retry_after":true,
                      "max_retry_after_us":250000,"connect_timeout_us":1000000,"idle_close_us":60000000},
@@ -78,7 +80,7 @@
 
     /** Starts a router with the given lines in the {@code idle} block of its settings. */
     private void startRouter(String idleSettings) throws Exception {
-        RouterConfig facts =
+        RouterConfig config =
                 RouterConfig.read(
                         new JsonObject()
                                 .put("name", "n1")
@@ -99,12 +101,12 @@
                                                 .put(
                                                         "servers",
                                                         new io.vertx.core.json.JsonArray())));
-        Path config = directory.resolve("i.hcl");
-        Files.writeString(config, "idle {\n" + idleSettings + "\n}\n");
+        Path settingsFile = directory.resolve("i.hcl");
+        Files.writeString(settingsFile, "idle {\n" + idleSettings + "\n}\n");
         router =
                 new Router(
-                                facts,
-                                OperatorSettings.read(config, facts.clientLimits()),
+                                config,
+                                OperatorSettings.read(settingsFile, config.clientLimits()),
                                 new Log(new PrintStream(PrintStream.nullOutputStream())))
                         .withoutWarmup();
         router.start().await(10, TimeUnit.SECONDS);
--- a/router/src/test/java/ironwind/adapter/AdapterTest.java
+++ b/router/src/test/java/ironwind/adapter/AdapterTest.java
@@ -14,7 +14,8 @@
 class AdapterTest {
     private static final String SETUP =
             "SPAWN\trouter=3\tentropy=1\tcaps.most_tries=3\textra.read_level=loose"
-                    + "\tlanes.count=1\tlanes.0.effect=retryable\tlanes.0.deadline_us=1000000\tpeers_total=1\tnews=1\n"
+                    + "\tlanes.count=1\tlanes.0.effect=retryable\tlanes.0.deadline_us=1000000"
+                    + "\tpeers_total=1\tnews=1\n"
                     + "DEFINE_LIST\tref=0\telements=1\nITEM\thost=10.0.0.1:1\tshard=4\n"
                     + "ROSTER_CHANGE\trouter=3\tscope=0\trevision=1\tref=0\n";
     private static final String CALL = "CALL\trouter=3\ttxn=00000000000000aa\tlane=0\tcluster=4\n";
@@ -75,7 +76,8 @@
                 "VERDICT router=3 txn=aa seq_no=0 code=maybe | field 'code' has an unknown value: maybe",
                 "ROSTER_CHANGE router=3 scope=2 ref=5 | field 'ref' is not a defined host list",
                 "DEFINE_LIST ref=0 elements=2 | field 'elements' announces 2 ITEM lines, but 0 followed",
-                "PING_RESULT router=3 host=h code=delivered usage=x0 | field 'usage' is not a list of name:value pairs: x0",
+                "PING_RESULT router=3 host=h code=delivered usage=x0 "
+                        + "| field 'usage' is not a list of name:value pairs: x0",
                 "NONSENSE router=3 | field 'name' is not a known message: NONSENSE"
             })
     void malformedLineIsReportedWithLineAndField(String line, String message) throws IOException {
--- a/router/src/test/java/ironwind/adapter/RouterConfigTest.java
+++ b/router/src/test/java/ironwind/adapter/RouterConfigTest.java
@@ -12,18 +12,25 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Start facts from JSON, and the same settings from a line of the simulator. */
+/** Router configuration from JSON, and the same settings from a line of the simulator. */
 class RouterConfigTest {
     private static final String LINE =
             ("SPAWN caps.cancel=true caps.connect_timeout_us=250000 "
                             + "caps.idle_close_us=30000000 caps.most_tries=10 "
-                            + "caps.parallel_tries=true extra.lag_allowed_us=300000,0 extra.read_level=recent,update "
-                            + "extra.when_behind=reject lanes.count=2 lanes.0.deadline_us=1500000 lanes.0.effect=retryable "
-                            + "lanes.0.goal_time_us=400000 lanes.0.late_worth=0.2 lanes.0.name=lobby lanes.0.worth=3.0 "
-                            + "lanes.1.deadline_us=3000000 lanes.1.effect=dedup lanes.1.key_scope=cell lanes.1.name=move "
-                            + "lanes.1.window_us=2000000 lanes.1.worth=6.0 peers_total=2 period_us=5000 prices.probe=0.01 "
-                            + "reporting.fields=x0,util reporting.via=inline rules.cold_from=0.25 rules.fall_multiple=4.0 "
-                            + "rules.soft_removal=true tenants.count=1 tenants.0.name=chess tenants.0.quota_per_s=102.0 "
+                            + "caps.parallel_tries=true extra.lag_allowed_us=300000,0 "
+                            + "extra.read_level=recent,update "
+                            + "extra.when_behind=reject lanes.count=2 lanes.0.deadline_us=1500000 "
+                            + "lanes.0.effect=retryable "
+                            + "lanes.0.goal_time_us=400000 lanes.0.late_worth=0.2 lanes.0.name=lobby "
+                            + "lanes.0.worth=3.0 "
+                            + "lanes.1.deadline_us=3000000 lanes.1.effect=dedup lanes.1.key_scope=cell "
+                            + "lanes.1.name=move "
+                            + "lanes.1.window_us=2000000 lanes.1.worth=6.0 peers_total=2 period_us=5000 "
+                            + "prices.probe=0.01 "
+                            + "reporting.fields=x0,util reporting.via=inline rules.cold_from=0.25 "
+                            + "rules.fall_multiple=4.0 "
+                            + "rules.soft_removal=true tenants.count=1 tenants.0.name=chess "
+                            + "tenants.0.quota_per_s=102.0 "
                             + "kinds=std-4core zones=auckland,hamilton")
                     .replace(' ', '\t');
     private static final String JSON =
@@ -33,11 +40,14 @@
          "settings": {
           "caps": {"cancel": true, "connect_timeout_us": 250000, "idle_close_us": 30000000, "most_tries": 10,
                    "parallel_tries": true},
-          "extra": {"lag_allowed_us": [300000, 0], "read_level": ["recent", "update"], "when_behind": "reject"},
+          "extra": {"lag_allowed_us": [300000, 0], "read_level": ["recent", "update"], \
+        "when_behind": "reject"},
           "lanes": [
-           {"deadline_us": 1500000, "effect": "retryable", "goal_time_us": 400000.0, "late_worth": 0.2, "name": "lobby",
+           {"deadline_us": 1500000, "effect": "retryable", "goal_time_us": 400000.0, "late_worth": 0.2, \
+        "name": "lobby",
             "worth": 3},
-           {"deadline_us": 3000000, "effect": "dedup", "key_scope": "cell", "name": "move", "window_us": 2000000,
+           {"deadline_us": 3000000, "effect": "dedup", "key_scope": "cell", "name": "move", \
+        "window_us": 2000000,
             "worth": 6.0}],
           "peers_total": 2, "period_us": 5000, "prices": {"probe": 0.01},
           "reporting": {"fields": ["x0", "util"], "via": "inline"},
--- a/router/src/test/java/ironwind/config/OperatorSettingsTest.java
+++ b/router/src/test/java/ironwind/config/OperatorSettingsTest.java
@@ -81,7 +81,8 @@
                 "connections = 10;per_customer = 11 | 3: idle.per_customer: is more than connections",
                 "memory = \"1MiB\";owed_all = \"1MiB\" | 3: idle.owed_all: is not less than memory",
                 "owed_each = \"1GiB\" | 2: idle.owed_each: is more than owed_all",
-                "served_time = \"1s\";crowded_time = \"2s\" | 3: idle.crowded_time: is longer than served_time",
+                "served_time = \"1s\";crowded_time = \"2s\" "
+                        + "| 3: idle.crowded_time: is longer than served_time",
                 "new_at_once = 5 | 2: idle.new_at_once: has no effect without new_per_second"
             })
     void inconsistentSettingsAreReported(String text, String message) {
--- a/router/src/test/java/ironwind/hcl/HclTest.java
+++ b/router/src/test/java/ironwind/hcl/HclTest.java
@@ -96,8 +96,12 @@
                 "f = yes | f.hcl:1: syntax error at column",
                 "f = 1 | f.hcl:1: f: expected true or false, got 1",
                 "s = \"2m\" | ''",
-                "s = \"90\" | f.hcl:1: s: expected a duration such as \"250ms\" from 10ms to 3600s, got \"90\"",
-                "s = \"9us\" | f.hcl:1: s: expected a duration such as \"250ms\" from 10ms to 3600s, got \"9us\"",
+                "s = \"90\" "
+                        + "| f.hcl:1: s: expected a duration such as \"250ms\""
+                        + " from 10ms to 3600s, got \"90\"",
+                "s = \"9us\" "
+                        + "| f.hcl:1: s: expected a duration such as \"250ms\""
+                        + " from 10ms to 3600s, got \"9us\"",
                 "s = \"99999999999999h\" | f.hcl:1: s: expected a duration",
                 "b = \"64KiB\" | ''",
                 "b = \"64KB\" | f.hcl:1: b: expected a size such as \"16MiB\" from 1B to 1048576B, got",
