--- a/cli/src/main/java/ironwind/cli/Check.java
+++ b/cli/src/main/java/ironwind/cli/Check.java
@@ -13,16 +13,16 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** {@code ironwind check}: validates an installation's settings file without starting a router. */
+/** {@code ironwind check}: validates an operator settings file without starting a router. */
 @Command(
         name = "check",
         mixinStandardHelpOptions = true,
         description =
-                "Check an installation's HCL file; all errors are reported at once, by file and line.")
+                "Check an HCL file of operator settings; all errors are reported at once, by file and line.")
 final class Check implements Callable<Integer> {
     /**
-     * Limits used without start facts: those of the deployment described in DEPLOY, with 535 client
-     * connections, 192 MB of memory and method deadlines from 1 s to 3 s.
+     * Limits used without a router configuration: those of the deployment described in DEPLOY, with
+     * 535 client connections, 192 MB of memory and method deadlines from 1 s to 3 s.
      */
     private static final Limits DEFAULT_LIMITS =
             Limits.defaults(535, 192, Span.ofMillis(1_000), Span.ofMillis(3_000));
@@ -35,16 +35,18 @@
     @Option(
             names = "--facts",
             paramLabel = "FILE",
-            description = "JSON file of a router's start facts, which set the defaults.")
-    private Path facts;
+            description =
+                    "JSON file of a router configuration, from which the defaults are derived.")
+    private Path configFile;
 
     @Override
     public Integer call() {
-        Limits limits = facts == null ? DEFAULT_LIMITS : RouterConfig.read(facts).clientLimits();
+        Limits limits =
+                configFile == null ? DEFAULT_LIMITS : RouterConfig.read(configFile).clientLimits();
         try {
             OperatorSettings.read(file, limits);
-        } catch (HclException fault) {
-            fault.messages().forEach(spec.commandLine().getErr()::println);
+        } catch (HclException exception) {
+            exception.messages().forEach(spec.commandLine().getErr()::println);
             return 1;
         }
         spec.commandLine().getOut().println(file + ": good");
--- a/cli/src/main/java/ironwind/cli/Serve.java
+++ b/cli/src/main/java/ironwind/cli/Serve.java
@@ -21,29 +21,30 @@
             required = true,
             defaultValue = "${env:ROUTER_CONFIG}",
             paramLabel = "FILE",
-            description = "JSON file of start facts (default: the file named by ROUTER_CONFIG).")
-    private Path facts;
+            description =
+                    "JSON file of the router configuration (default: the file named by ROUTER_CONFIG).")
+    private Path configFile;
 
     @Option(
             names = "--config",
             defaultValue = "${env:IRONWIND_HCL}",
             paramLabel = "FILE",
             description =
-                    "HCL file of this installation (default: the file named by IRONWIND_HCL, if any).")
-    private Path config;
+                    "HCL file of the operator settings (default: the file named by IRONWIND_HCL, if any).")
+    private Path settingsFile;
 
     @Option(
             names = "--log",
             paramLabel = "FORM",
             description = "pairs or json; overrides log.form in the HCL file.")
-    private LogFormat form;
+    private LogFormat format;
 
     @Override
     public Integer call() throws Exception {
-        RouterConfig start = RouterConfig.read(facts);
-        OperatorSettings installation = OperatorSettings.readOrDefaults(start, config);
-        Log log = new Log(new LogbackSink(form == null ? installation.logFormat() : form));
-        new RouterService(facts, start, installation, log).run();
+        RouterConfig config = RouterConfig.read(configFile);
+        OperatorSettings settings = OperatorSettings.readOrDefaults(config, settingsFile);
+        Log log = new Log(new LogbackSink(format == null ? settings.logFormat() : format));
+        new RouterService(configFile, config, settings, log).run();
         return 0;
     }
 }
--- a/lab/src/main/java/ironwind/lab/IdleBenchmark.java
+++ b/lab/src/main/java/ironwind/lab/IdleBenchmark.java
@@ -55,7 +55,7 @@
      *     never read the responses; 0 for none
      * @param core CPU that the routers are pinned to; negative for none
      * @param heapMb maximum heap and memory limit of each router
-     * @param hclFile installation settings of the routers; may be null
+     * @param hclFile file of the routers' operator settings; may be null
      */
     public record Plan(
             Map<String, Path> jars,
--- a/lab/src/main/java/ironwind/lab/RouterProcess.java
+++ b/lab/src/main/java/ironwind/lab/RouterProcess.java
@@ -43,12 +43,12 @@
     }
 
     /**
-     * Starts a router and waits until it is ready. Its start facts and log are written to {@code
+     * Starts a router and waits until it is ready. Its configuration and log are written to {@code
      * directory}.
      *
      * @param number distinguishes the routers of one run
      * @param core CPU to pin the router to; negative for none
-     * @param hclFile installation settings; may be null
+     * @param hclFile file of the operator settings; may be null
      */
     static RouterProcess start(
             Path jar,
@@ -60,8 +60,8 @@
             Path hclFile)
             throws IOException, InterruptedException {
         int port = freePort();
-        Path startFacts = directory.resolve("router-" + number + ".json");
-        Files.writeString(startFacts, startFactsJson(number, port, discoveryPort, heapMb));
+        Path configFile = directory.resolve("router-" + number + ".json");
+        Files.writeString(configFile, routerConfigJson(number, port, discoveryPort, heapMb));
         List<String> command =
                 new ArrayList<>(
                         core < 0 ? List.of() : List.of("taskset", "-c", Integer.toString(core)));
@@ -86,7 +86,7 @@
                 new ProcessBuilder(command)
                         .redirectErrorStream(true)
                         .redirectOutput(directory.resolve("router-" + number + ".log").toFile());
-        builder.environment().put("ROUTER_CONFIG", startFacts.toString());
+        builder.environment().put("ROUTER_CONFIG", configFile.toString());
         if (hclFile != null) {
             builder.environment().put("IRONWIND_HCL", hclFile.toString());
         }
@@ -106,7 +106,7 @@
         }
     }
 
-    private static String startFactsJson(int number, int port, int discoveryPort, int memoryMb) {
+    private static String routerConfigJson(int number, int port, int discoveryPort, int memoryMb) {
         return """
                 {"name":"lab%d","listen":"127.0.0.1:%d","discovery":"127.0.0.1:%d","seed":"%x",
                  "limits":{"cores":1.0,"memory_mb":%d,"sockets":100000},
--- a/router/src/main/java/ironwind/adapter/Adapter.java
+++ b/router/src/main/java/ironwind/adapter/Adapter.java
@@ -162,7 +162,7 @@
 
     private static HostEntry parseEntry(Line item) {
         int health = item.getInt("health", 0);
-        Host.DiscoveryState listing =
+        Host.DiscoveryState discoveryState =
                 switch (health) {
                     case 0 -> Host.DiscoveryState.READY;
                     case 1 -> Host.DiscoveryState.DRAINING;
@@ -175,7 +175,7 @@
                 item.getInt("zone", 0),
                 item.getInt("type", 0),
                 item.getInt("shard", 0),
-                listing,
+                discoveryState,
                 item.getDouble("power_hint", 1),
                 onlineSinceUs == 0 ? Moment.NEVER : new Moment(onlineSinceUs),
                 item.getDouble("leads", 0) >= 1);
--- a/router/src/main/java/ironwind/boot/RouterService.java
+++ b/router/src/main/java/ironwind/boot/RouterService.java
@@ -8,7 +8,7 @@
 import java.nio.file.Path;
 import sun.misc.Signal;
 
-/** Runs a router as a process: SIGTERM drains and stops it, SIGHUP reloads its start facts. */
+/** Runs a router as a process: SIGTERM drains and stops it, SIGHUP reloads its configuration. */
 public final class RouterService {
     private final Path file;
     private final Log log;
@@ -17,9 +17,9 @@
     /**
      * Creates a service; {@link #run} starts the router.
      *
-     * @param file the file of the start facts, read again on SIGHUP
-     * @param config the start facts
-     * @param settings the operator's settings
+     * @param file the file of the router configuration, read again on SIGHUP
+     * @param config the router configuration
+     * @param settings the operator settings
      * @param log receives the router's log lines
      */
     public RouterService(Path file, RouterConfig config, OperatorSettings settings, Log log) {
@@ -48,7 +48,10 @@
         Thread.currentThread().join();
     }
 
-    /** Reloads the start facts; if the file is unreadable or malformed, the current ones stay. */
+    /**
+     * Reloads the router configuration; if the file is unreadable or malformed, the current one is
+     * kept.
+     */
     private void reload() {
         try {
             router.reload(RouterConfig.read(file));
--- a/router/src/main/java/ironwind/config/RouterConfig.java
+++ b/router/src/main/java/ironwind/config/RouterConfig.java
@@ -12,7 +12,7 @@
 import java.util.List;
 
 /**
- * The start facts of a router process, read from a JSON file.
+ * The configuration of a router process, read from a JSON file.
  *
  * @param name the router's name
  * @param listen where clients connect
--- a/router/src/main/java/ironwind/idle/Limits.java
+++ b/router/src/main/java/ironwind/idle/Limits.java
@@ -109,9 +109,9 @@
     }
 
     /**
-     * Returns the defaults, derived from the start facts. Connections that have made no request
-     * within 2 s of the start-up are closed, and so are connections that are idle for 2 s while
-     * more than half of {@code maxConnections} are open.
+     * Returns the defaults, derived from the router configuration. Connections that have made no
+     * request within 2 s of the start-up are closed, and so are connections that are idle for 2 s
+     * while more than half of {@code maxConnections} are open.
      *
      * @param connections how many connections may be open at a time
      * @param memoryMb memory of the router in megabytes
--- a/router/src/main/java/ironwind/net/Router.java
+++ b/router/src/main/java/ironwind/net/Router.java
@@ -43,7 +43,7 @@
 
     /**
      * How long to wait for the first host list. After that the router becomes ready with the list
-     * of its start facts.
+     * in its configuration.
      */
     private static final long FIRST_LIST_TIMEOUT_MS = 2_000;
 
@@ -236,8 +236,8 @@
     }
 
     /**
-     * Applies the address of the discovery service from new start facts; connections and RPCs are
-     * not affected. Changes of any other fact take effect at the next start.
+     * Applies the address of the discovery service from a new router configuration; connections and
+     * RPCs are not affected. Changes of any other value take effect at the next start.
      */
     public Future<Void> reload(RouterConfig newConfig) {
         Promise<Void> done = Promise.promise();
--- a/router/src/test/java/ironwind/config/OperatorSettingsTest.java
+++ b/router/src/test/java/ironwind/config/OperatorSettingsTest.java
@@ -86,12 +86,12 @@
                 "new_at_once = 5 | 2: idle.new_at_once: has no effect without new_per_second"
             })
     void inconsistentSettingsAreReported(String text, String message) {
-        HclException fault =
+        HclException exception =
                 catchThrowableOfType(
                         HclException.class,
                         () -> read("idle {\n" + text.replace(';', '\n') + "\n}"));
-        assertThat(fault.messages()).hasSize(1);
-        assertThat(fault.messages().get(0)).contains("i.hcl:" + message);
+        assertThat(exception.messages()).hasSize(1);
+        assertThat(exception.messages().get(0)).contains("i.hcl:" + message);
     }
 
     /** Guards against default limits that the consistency checks would reject. */
