--- a/deploy/ironwind.hcl
+++ b/deploy/ironwind.hcl
@@ -1,7 +1,8 @@
-# For a router whose start facts allow 40,000 descriptors.
+# Operator settings for long-lived client connections, such as those of game servers. They are sized for a router
+# configuration that allows 40,000 file descriptors (limits.sockets).
 #
-# Limits of an installation with lasting connections, such as game servers hold. The platform's line `run` names no such
-# file, and then everything follows from the router's start facts. Check it with: ironwind check deploy/ironwind.hcl
+# The command `run` in balancer.toml does not pass a settings file, so there all limits have their defaults, which are
+# derived from the router configuration. Validate changes with: ironwind check deploy/ironwind.hcl
 
 log {
   form = "pairs"
