--- a/router/src/main/java/ironwind/net/ClientConnection.java
+++ b/router/src/main/java/ironwind/net/ClientConnection.java
@@ -51,7 +51,7 @@
 
     /**
      * How the connection ends once all its commands are answered; null if it is to stay open. No
-     * more input is processed if it is {@link Ending#CLIENT_MALFORMED}.
+     * more input is processed if it is {@link Ending#CLIENT_FATAL_ERROR}.
      */
     private Ending pendingEnding;
 
