--- a/router/src/main/java/ironwind/Logic.java
+++ b/router/src/main/java/ironwind/Logic.java
@@ -15,8 +15,9 @@
  * <p>The only time that it uses is that of the batch, and its only random source is seeded. It is
  * not thread-safe.
  *
- * <p>Hosts are chosen by the log-position gate of docs/design.md, see {@link #chooseHost}. Every
- * send passes {@link #gate}. {@link #TRANSITIONS} is the state machine of an RPC.
+ * <p>{@link #chooseHost} chooses hosts by their known log positions (the log-position gate of
+ * docs/design.md). Every send passes {@link #gate}, which checks the rules for sends. {@link
+ * #TRANSITIONS} is the state machine of an RPC.
  */
 public final class Logic implements Inbound {
     /** How long a read waits for an eligible replica before it may go to the primary. */
@@ -26,8 +27,9 @@
     private static final Span CHECK_INTERVAL = Span.ofMillis(10);
 
     /**
-     * A host counts as silent once the waiting times of its unanswered call-outs add up to this
-     * multiple of the mean response time.
+     * A host counts as silent once the waiting times of its unanswered call-outs add up to more
+     * than this multiple of the mean response time. Idempotent call-outs that can be neither
+     * cancelled nor hedged time out after the same multiple.
      */
     private static final double SILENCE_FACTOR = 7;
 
@@ -38,9 +40,9 @@
     private static final int MAX_SILENCE_SAMPLES = 4;
 
     /**
-     * How long a host that rejects RPCs or answers with errors gets none, doubled with each
-     * ejection in a row: it responds fast, so it would look idle and attract more. Cost: a primary
-     * that was only overloaded is used again slightly late.
+     * How long a host that rejects RPCs or answers with errors is ejected, doubled with each
+     * ejection in a row. Otherwise its fast responses would make it look idle and attract more
+     * RPCs. Cost: a primary that was only overloaded is used again slightly late.
      */
     private static final Span BASE_EJECTION_TIME = Span.ofMillis(20);
 
@@ -75,7 +77,9 @@
     /** Time between two rounds in which probes are sent. */
     private static final Span PROBE_ROUND_INTERVAL = Span.ofMillis(50);
 
-    /** How long a host that reported to be a replica is left out of the search for a primary. */
+    /**
+     * How long a host that reported itself as a replica is left out of the search for a primary.
+     */
     private static final Span ROLE_REPORT_TTL = Span.ofMillis(400);
 
     /** How long the rejection of a read shows that a replica is behind. */
@@ -90,10 +94,12 @@
      */
     private static final Span MAX_DISCOVERY_DELAY = Span.ofMillis(10_000);
 
-    /** Fraction of the RPCs' value that may be spent on probes for log positions. */
+    /**
+     * Spending per RPC on probes for log positions, in the unit of {@link Deployment#probeCost()}.
+     */
     private static final double POSITION_PROBE_SPENDING = 0.002;
 
-    /** Fraction that may be spent on probes of suspect hosts and for a missing primary. */
+    /** Spending per RPC on probes of suspect hosts and for a missing primary, in the same unit. */
     private static final double HEALTH_PROBE_SPENDING = 0.005;
 
     private static final double MAX_PROBES_PER_RPC = 0.5;
@@ -135,7 +141,10 @@
      */
     private static final double PRIMARY_READ_SHARE = 0.6;
 
-    /** Time since the previous sample of an average after which a new one would have weight 1. */
+    /**
+     * Time since the previous sample of an average after which a new one would have weight 1 if
+     * {@link #MAX_SAMPLE_WEIGHT} did not limit it.
+     */
     private static final Span FULL_WEIGHT_TIME = Span.ofMillis(2_000);
 
     /** Time constant by which the primary's latency ratio loses weight without new samples. */
@@ -143,7 +152,9 @@
 
     private static final double MAX_SAMPLE_WEIGHT = 0.6;
 
-    /** Minimum weight of a sample in averages over many hosts. */
+    /**
+     * Weight of a sample in averages over many hosts; its minimum in the latency ratios of pools.
+     */
     private static final double SMOOTHING = 0.08;
 
     /** Minimum weight of a sample in averages of a host or zone. */
@@ -156,9 +167,10 @@
     private static final double OVER_QUOTA_WAIT = 0.15;
 
     /**
-     * An RPC is given up when less than the mean response time is left until its soft deadline. At
-     * most this fraction of the soft deadline is kept free for that: otherwise a method that only
-     * slow hosts serve would never be sent again, and its response time never be measured again.
+     * A pending RPC with little late utility is given up when less than its method's mean response
+     * time is left until its soft deadline. At most this fraction of the soft deadline is reserved
+     * for the response time: otherwise a method that only slow hosts serve would never be sent
+     * again, and its response time never be measured again.
      */
     private static final double MAX_RESPONSE_TIME_SHARE = 0.5;
 
@@ -174,7 +186,7 @@
      */
     private static final double UNSENT_WAIT_SHARE = 0.5;
 
-    /** Fraction that is used of the rate allowed to a cold host. */
+    /** Fraction of the rate permitted to a cold host that is used, as a safety margin. */
     private static final double COLD_BUDGET_MARGIN = 0.85;
 
     /** Sends to a cold host that all routers together may always make in a window. */
@@ -183,10 +195,10 @@
     /** Time constant of the rate of RPCs that a host serves. */
     private static final Span RATE_WINDOW = Span.ofMillis(8_000);
 
-    /** Longest retry delay that is told for RPCs that are not idempotent. */
+    /** Longest retry delay that clients are told for RPCs that are not idempotent. */
     private static final Span MAX_WRITE_RETRY_AFTER = Span.ofMillis(200);
 
-    /** Hosts round the position of a commit up to this unit. */
+    /** Hosts round the position of a commit up to a multiple of this. */
     private static final Span COMMIT_ROUNDING = Span.ofMillis(1);
 
     private static final double INITIAL_RESPONSE_TIME_US = 150_000;
@@ -252,11 +264,14 @@
     /** Hosts with call-outs in flight; a router with little traffic has few. */
     private final List<Host> busyHosts = new ArrayList<>();
 
-    /** The last commit by session, until all members of its group have applied it. */
+    /**
+     * The last commit by session, until all members of its group that accept sends have applied it.
+     */
     private final Map<String, Commit> sessionCommits = new LinkedHashMap<>();
 
     /**
-     * Age of a known position from which a replica is probed: half the smallest staleness bound.
+     * A replica whose known position is older than this is probed: half the smallest staleness
+     * bound, or 500 ms if no method has one.
      */
     private final Span positionProbeAge;
 
@@ -274,7 +289,10 @@
 
     private double overallResponseTimeUs = INITIAL_RESPONSE_TIME_US;
 
-    /** Smoothed share of errors among all answers. */
+    /**
+     * Smoothed share of errors among answers. Overload rejections and the further errors of an RPC
+     * that has failed before do not count.
+     */
     private double errorRate;
 
     private final TokenBucket positionProbeBudget = new TokenBucket(0);
@@ -306,7 +324,7 @@
     /**
      * Creates the logic of one router with a given map of hosts, so that tests can count visits.
      *
-     * @param hosts an empty map in insertion order
+     * @param hosts an empty map that iterates in insertion order
      */
     Logic(Deployment deployment, long seed, Outbound outbound, Map<String, Host> hosts) {
         this.deployment = deployment;
@@ -366,8 +384,9 @@
     }
 
     /**
-     * Removes a host that is gone and has no call-outs in flight, and returns whether it did.
-     * Guards against unbounded growth when discovery keeps naming new hosts.
+     * Removes a host from its group if it is gone, has no call-outs in flight, and is suspect or
+     * accepts no sends; returns whether it did. Guards against unbounded growth when discovery
+     * keeps naming new hosts.
      */
     private boolean removeIfGone(Host host) {
         boolean unavailable =
@@ -393,8 +412,9 @@
     }
 
     /**
-     * Applies the role from discovery. Discovery may lag behind the hosts' answers, so only a
-     * change is applied, and only if no usable primary is known.
+     * Applies the role from discovery. Discovery may lag behind the hosts' answers, so a host
+     * listed as primary becomes the primary only if it was not listed so before, no usable primary
+     * is known, and it has not recently reported itself as a replica.
      */
     private void applyListedRole(Host host, boolean primary) {
         boolean changed = primary && !host.listedPrimary;
@@ -449,8 +469,8 @@
         }
         if (host.connectionRefused) {
             // The host runs, but refused a connection; a host that was down would have failed the
-            // probe. Guards against too few connections for many routers: each router closes the
-            // ones that it doesn't use. Cost: more handshakes.
+            // probe. Guards against a host whose connections are all taken by idle ones of many
+            // routers: each router closes its own. Cost: more handshakes.
             host.connectionRefused = false;
             connectionsScarceUntil = now.plus(CONNECTION_SCARCITY_TIME);
             clearSuspicion(host);
@@ -468,7 +488,7 @@
                             .map(h -> h.lag)
                             .min(Comparator.naturalOrder())
                             .orElse(Span.ZERO);
-            // A report is at least as old as its position. Dated by that, a delayed report does not
+            // A report is no older than its position. Dated by that, a delayed report does not
             // override a newer answer.
             applyReportedRole(host, role, position);
             checkNeeded = true;
@@ -568,7 +588,7 @@
         }
         boolean committed = outcome == Outcome.OK && consistency == Consistency.WRITE;
         if (position.after(Moment.NEVER)) {
-            // The host rounds the position of a commit up; only the rounded-down one is sure.
+            // The host rounds the position of a commit up; only the rounded-down one is certain.
             host.position =
                     host.position.later(committed ? position.minus(COMMIT_ROUNDING) : position);
             if (committed && deployment.sessionCommitsTracked() && rpc.session != null) {
@@ -623,7 +643,7 @@
         if (chargedToQuota
                 && (rpc.erredOnTwoHosts
                         || rpc.method.idempotency() == Idempotency.NON_IDEMPOTENT)) {
-            // Refunds the quota of an RPC that no host can serve.
+            // Refunds the quota of an RPC that fails on any host, or that may not be retried.
             quotas.get(rpc.customer.index()).refill(1, Double.MAX_VALUE);
         }
         if (Math.pow(errorRate, ++host.consecutiveErrors) < MIN_ERROR_STREAK_PROBABILITY) {
@@ -852,8 +872,9 @@
     }
 
     /**
-     * Whether an RPC may be sent to a suspect host as a trial. A host that has answered a probe
-     * gets one idempotent RPC per trial interval.
+     * Whether an RPC may be sent to a suspect host as a trial. A host that has answered a probe, or
+     * that may not be probed, gets one idempotent RPC per trial interval, which must not have been
+     * sent before.
      */
     private boolean trialDue(Host host, Rpc rpc) {
         return rpc.method.idempotency() == Idempotency.IDEMPOTENT
@@ -891,7 +912,10 @@
         checkNeeded = true;
     }
 
-    /** Charges an arriving RPC to its customer's quota and adds to the probe budgets. */
+    /**
+     * Charges an arriving RPC, unless it is a client's retry, to its customer's quota, adds to the
+     * probe budgets, and makes the RPC pending or rejects it.
+     */
     private void admit(Rpc rpc) {
         if (rpc.customer != null && rpc.customer.quotaPerSecond() > 0) {
             TokenBucket quota = quotas.get(rpc.customer.index());
@@ -1036,10 +1060,10 @@
     private static final Commit NO_COMMIT = new Commit(null, Moment.NEVER);
 
     /**
-     * Returns the host to send an RPC to, or null if none is eligible now. Reads go to a replica
-     * that is known to have applied the required position. Where hosts reject reads that they are
-     * too far behind for, replicas not known to be behind come next. The primary is the last
-     * choice, after a delay.
+     * Returns the host to send an RPC to, or null if none is eligible now. Writes and strong reads
+     * go to the primary, other reads to a replica that is known to have applied the required
+     * position. Where hosts reject reads that they are too far behind for, replicas not known to be
+     * behind come next. The primary is the last choice, after a delay or a rejection.
      */
     private Host chooseHost(Rpc rpc) {
         if (primaryOnly(rpc.method)) {
@@ -1072,10 +1096,11 @@
     }
 
     /**
-     * Whether the primary has capacity for a read beside what only it can serve. If the share for
-     * reads is below one call-out, the latency ratio decides instead, because the small shares of
-     * many routers would add up to an overloaded primary; reads with less utility per time are
-     * stopped earlier. The ratio decays, so that a primary without writes is tried again.
+     * Whether the primary has capacity for a read in addition to what only it can serve. If the
+     * share for reads is below one call-out, the latency ratio decides instead, because the small
+     * shares of many routers would add up to an overloaded primary; reads with less utility per
+     * unit of work are stopped earlier. The ratio decays, so that a primary without writes is tried
+     * again.
      */
     private boolean primaryHasCapacityFor(Rpc rpc) {
         ConcurrencyLimit pool = rpc.group.primaryPool;
@@ -1116,10 +1141,10 @@
      * Returns the eligible replica with the fewest of this router's call-outs in flight, or null. A
      * suspect replica that is due for a trial comes first.
      *
-     * @param assumeCaughtUp whether to include all replicas that are not known to be behind,
-     *     instead of only those known to have applied the position. They count as equal, so that
-     *     the most advanced one is not overloaded. Cost: a replica that catches up is used slightly
-     *     late.
+     * @param assumeCaughtUp whether to include all replicas that are not known to be behind and
+     *     were not tried for this RPC, instead of only those known to have applied the position.
+     *     They count as equal, so that the most advanced one is not overloaded. Cost: a replica
+     *     that catches up is used slightly late.
      */
     private Host chooseReplica(Rpc rpc, Moment required, boolean assumeCaughtUp) {
         Host best = null;
@@ -1179,9 +1204,9 @@
     }
 
     /**
-     * Returns the primary if it is eligible, otherwise null. If no primary is known, returns for
-     * writes the first member by id that has not recently reported to be a replica, until half of
-     * the RPC's call-outs are used up.
+     * Returns the primary if it is eligible, otherwise null. If no primary that accepts sends is
+     * known, returns for writes the first eligible member by id that is idle and has not recently
+     * reported itself as a replica, until half of the RPC's call-outs are used up.
      */
     private Host choosePrimary(Rpc rpc) {
         Group group = rpc.group;
@@ -1219,7 +1244,10 @@
 
     // ---- the gate
 
-    /** Whether the five rules permit a send. Every send is checked here and nowhere else. */
+    /**
+     * Whether the five rules permit a send. Every send passes this check; {@link #maySendNow}
+     * repeats the conditions that can lapse.
+     */
     private boolean gate(Rpc rpc, Host host) {
         return rpc.state != State.DONE
                 && host.group == rpc.group
@@ -1274,8 +1302,9 @@
     }
 
     /**
-     * Rule 5: whether a host is recent enough for a read. The believed primary is exempt until its
-     * own answer shows that it isn't the primary.
+     * Rule 5: whether a host is recent enough for a read. Hosts that reject stale reads check that
+     * themselves. The believed primary is exempt until its own answer shows that it isn't the
+     * primary.
      */
     private boolean isRecentEnough(Rpc rpc, Host host) {
         return rpc.method.consistency() == Consistency.WRITE
@@ -1402,7 +1431,10 @@
         }
     }
 
-    /** Checks the pending RPCs by utility, the latest arrival first among equals. */
+    /**
+     * Checks the pending RPCs in order of decreasing utility, the latest arrival first among
+     * equals.
+     */
     private void processPending() {
         pending.sort(
                 Comparator.comparingDouble((Rpc rpc) -> -currentUtility(rpc))
