--- a/router/src/main/java/ironwind/model/CallOut.java
+++ b/router/src/main/java/ironwind/model/CallOut.java
@@ -8,10 +8,7 @@
     /** The host that it is sent to. */
     public final Host host;
 
-    /**
-     * The router's limit for the primary or for all replicas of the group, which this counts
-     * against.
-     */
+    /** The pool whose limit it counts against: that of the group's primary or of its replicas. */
     public final ConcurrencyLimit pool;
 
     /** Index among the RPC's call-outs, from 0. */
--- a/router/src/main/java/ironwind/model/Group.java
+++ b/router/src/main/java/ironwind/model/Group.java
@@ -15,8 +15,8 @@
     public Host primary;
 
     /**
-     * Time of the newest evidence for the primary; {@link Moment#NEVER} if discovery alone names
-     * it.
+     * Time of the newest report of a host that it is the primary; {@link Moment#NEVER} if there was
+     * none. A primary named by discovery leaves it unchanged.
      */
     public Moment primaryReportedAt = Moment.NEVER;
 
@@ -32,7 +32,7 @@
     /** Whether an RPC has arrived for the group; unused groups are not probed. */
     public boolean used;
 
-    /** When a write or a strong read last found no known primary. */
+    /** When a write or a strong read last found no primary that accepts sends. */
     public Moment primaryMissingAt = Moment.NEVER;
 
     /** Creates a group without members. */
--- a/router/src/main/java/ironwind/model/Host.java
+++ b/router/src/main/java/ironwind/model/Host.java
@@ -29,7 +29,10 @@
     /** When it was started; {@link Moment#NEVER} if unknown. */
     public Moment startedAt = Moment.NEVER;
 
-    /** Whether the host has reported that it is a replica. */
+    /**
+     * Whether the host has reported that it is a replica since it was last believed to be the
+     * primary.
+     */
     public boolean reportedReplica;
 
     /** Log position that it is known to have applied at least. */
@@ -79,7 +82,10 @@
     /** Earliest time of the next trial of a suspect host. */
     public Moment nextTrialAt = Moment.NEVER;
 
-    /** Trials that failed in a row; increases the time until the next one. */
+    /**
+     * Failed trials in a row, where a trial counts as failed until a useful answer; increases the
+     * time until the next one.
+     */
     public int failedTrials;
 
     /** Whether a probe is in flight. */
@@ -88,7 +94,10 @@
     /** When it was last probed. */
     public Moment probedAt = Moment.NEVER;
 
-    /** Whether it answered the last probe. */
+    /**
+     * Whether it answered the last probe. Reset when it becomes suspect: to false, or to true where
+     * hosts may not be probed.
+     */
     public boolean lastProbeAnswered;
 
     /**
--- a/router/src/main/java/ironwind/model/Inbound.java
+++ b/router/src/main/java/ironwind/model/Inbound.java
@@ -23,9 +23,7 @@
     /** An RPC of a client has arrived. */
     void onRpcArrived(Moment now, Rpc rpc);
 
-    /**
-     * Whether a call-out may still be written once its connection, which took time, is established.
-     */
+    /** Returns whether a call-out may still be written, now that its connection is established. */
     boolean maySendNow(Moment now, CallOut callOut);
 
     /**
--- a/router/src/main/java/ironwind/model/Rpc.java
+++ b/router/src/main/java/ironwind/model/Rpc.java
@@ -27,8 +27,8 @@
     public final Moment arrivedAt;
 
     /**
-     * The client's deadline, or the end of the router's own run if that is earlier; set by the
-     * caller.
+     * The client's deadline, or an earlier time by which a router that shuts down must have
+     * answered; lowered by the caller.
      */
     public Moment deadline;
 
--- a/router/src/main/java/ironwind/model/Span.java
+++ b/router/src/main/java/ironwind/model/Span.java
@@ -14,7 +14,7 @@
         return new Span(ms * 1_000);
     }
 
-    /** Returns the span multiplied by a factor, cut to whole microseconds. */
+    /** Returns the span multiplied by a factor, truncated to whole microseconds. */
     public Span times(double factor) {
         return new Span((long) (us * factor));
     }
