--- a/router/src/main/java/ironwind/idle/ConnectionState.java
+++ b/router/src/main/java/ironwind/idle/ConnectionState.java
@@ -9,16 +9,19 @@
     CLOSING("parting"),
     /** The start-up message has not arrived completely. */
     STARTUP("stranger"),
-    /** Start-up is complete and no request has been made. */
+    /** Start-up is complete and no RPC has been answered. */
     UNUSED("greeted"),
-    /** At least one request was answered and none is in progress. */
+    /** At least one RPC was answered and none is in progress. */
     IDLE("served"),
     /**
      * Part of a message has arrived and no answer is outstanding. Never evicted, but subject to the
      * message timeout.
      */
     RECEIVING("halfway"),
-    /** An answer is outstanding. Never evicted; the RPC's own deadline limits how long it takes. */
+    /**
+     * An answer is outstanding, or reading is paused because of unsent answers. Never evicted; the
+     * RPC's own deadline limits how long it takes.
+     */
     BUSY("busy");
 
     private final String label;
--- a/router/src/main/java/ironwind/idle/Limits.java
+++ b/router/src/main/java/ironwind/idle/Limits.java
@@ -71,7 +71,10 @@
     private static final long BYTES_PER_MEGABYTE = 1 << 20;
     private static final Span DEFAULT_TIMEOUT = Span.ofMillis(2_000);
 
-    /** Room for one message and one answer of the largest size; see PROTOCOL's cap on values. */
+    /**
+     * Room for one message and one answer, each with a value of the largest size that the protocol
+     * specification (PROTOCOL) allows, written in hexadecimal.
+     */
     private static final long TWO_MESSAGES_BYTES = 270_000;
 
     private static final double MEMORY_FRACTION = 1.0 / 6;
@@ -114,7 +117,7 @@
      * while more than half of {@code maxConnections} are open.
      *
      * @param connections how many connections may be open at a time
-     * @param memoryMb memory of the router in megabytes
+     * @param memoryMb memory of the router in MiB
      * @param shortestDeadline the shortest deadline of any method
      * @param longestDeadline the longest deadline of any method
      */
--- a/router/src/main/java/ironwind/idle/MemoryBudget.java
+++ b/router/src/main/java/ironwind/idle/MemoryBudget.java
@@ -7,7 +7,10 @@
 public final class MemoryBudget {
     /** What memory is reserved for. */
     public enum Use {
-        /** Messages from clients that have arrived in part. */
+        /**
+         * Input from clients that is not processed yet: messages that have arrived in part, and
+         * commands that wait while reading is paused.
+         */
         PARTIAL_REQUESTS("incoming"),
         /** Statements of RPCs that are not answered yet. */
         OPEN_RPCS("open"),
--- a/router/src/main/java/ironwind/idle/ReadScheduler.java
+++ b/router/src/main/java/ironwind/idle/ReadScheduler.java
@@ -4,11 +4,11 @@
 
 /**
  * Schedules reads when many clients send at once. Active connections, which had an answer lately,
- * are read as soon as they are readable. Inactive ones are read until the current turn ends, then
- * queued and read in FIFO order, with active connections polled between two turns. While too many
- * RPCs are open, no queued connection is read unless it has waited so long that its RPC can hardly
- * meet its deadline; that RPC is read to be pushed back, as is one that finds no memory, because
- * pushing back holds no memory.
+ * are read as soon as they are readable. Inactive ones are read until the current turn ends; later
+ * ones are queued and read in FIFO order, and active connections are polled between two turns.
+ * While too many RPCs are open, a queued connection is read only once it has waited so long that
+ * its RPC can hardly meet its deadline. Such an RPC is pushed back, as is one that there is no
+ * memory for: pushing back holds no memory.
  *
  * <p>Times are microseconds of {@link MonotonicTime}.
  */
--- a/router/src/main/java/ironwind/model/Outcome.java
+++ b/router/src/main/java/ironwind/model/Outcome.java
@@ -10,7 +10,9 @@
     OVERLOADED(true, true),
     /** No answer came within the call-out's timeout. */
     TIMED_OUT(false, false),
-    /** No connection could be established. */
+    /**
+     * No connection could be established, or it was lost before the request was written completely.
+     */
     CONNECT_FAILED(true, false),
     /** The connection broke after the request was written, or its answer was malformed. */
     CONNECTION_LOST(false, false),
