--- a/router/src/main/java/ironwind/config/JsonPropertySource.java
+++ b/router/src/main/java/ironwind/config/JsonPropertySource.java
@@ -9,7 +9,7 @@
 /**
  * Flattens nested JSON into key-value pairs. Keys are paths joined by dots. A list of objects
  * becomes its length under {@code .count} and its items under their indexes; a list of plain values
- * becomes one comma-separated value. Nulls count as absent.
+ * becomes one comma-separated value. Keys with a null value count as absent.
  */
 public final class JsonPropertySource implements PropertySource {
     private final String root;
--- a/router/src/main/java/ironwind/config/NameIndex.java
+++ b/router/src/main/java/ironwind/config/NameIndex.java
@@ -8,8 +8,8 @@
 import java.util.Map;
 
 /**
- * Resolves external names to the objects and numbers that the decision module works with; that
- * module never sees the names.
+ * Resolves external names to the objects and numbers that the decision logic works with; the logic
+ * never sees the names.
  *
  * @param methods methods by name
  * @param customers customers by name
--- a/router/src/main/java/ironwind/config/RouterConfig.java
+++ b/router/src/main/java/ironwind/config/RouterConfig.java
@@ -21,7 +21,7 @@
  * @param maxSockets file descriptors that the process may open
  * @param memoryMb memory that the process may use, in MiB
  * @param initialHostList the host list to start with, as the discovery service would send it
- * @param deployment the deployment as the decision module sees it
+ * @param deployment the part of the configuration that the decision logic uses
  * @param names external names of methods, customers, zones and host kinds
  * @param connectTimeout time that connecting to a host may take
  * @param hostIdleTimeout time after which a host closes an idle connection
--- a/router/src/test/java/ironwind/LogicTest.java
+++ b/router/src/test/java/ironwind/LogicTest.java
@@ -439,8 +439,8 @@
     }
 
     /**
-     * Guards against hundreds of routers that each probe a silent host every 250 ms, at more cost
-     * than use.
+     * Guards against hundreds of routers that each probe a silent host every 250 ms, which costs
+     * more than it gains.
      */
     @Test
     void healthProbesStayWithinTheirBudgetWhileAHostIsSilent() {
@@ -455,7 +455,7 @@
         assertThat(fixture.host("a").suspect).isTrue();
         long probeCount =
                 fixture.actions.stream().filter(action -> action.equals("probe a")).count();
-        // The burst plus half a probe for each RPC.
+        // The burst plus half a probe for each of about 100 RPCs.
         assertThat(probeCount).isBetween(10L, 10 + 100 / 2L);
     }
 
@@ -611,7 +611,7 @@
 
     /**
      * Guards against a check that is not due before a pending RPC's deadline: the RPC was then
-     * answered late, by a timer meant for defects.
+     * answered late, by the watchdog for RPCs that a defect leaves unanswered.
      */
     @ParameterizedTest(name = "a client that waits {0} ms")
     @CsvSource({"300", "303", "306", "309"})
