--- a/router/src/main/java/ironwind/idle/ConnectionState.java
+++ b/router/src/main/java/ironwind/idle/ConnectionState.java
@@ -20,7 +20,7 @@
     RECEIVING("halfway"),
     /**
      * An answer is outstanding, or reading is paused because of unsent answers. Never evicted; the
-     * RPC's own deadline limits how long it takes.
+     * RPC's own deadline and the slow reader timeout limit how long that lasts.
      */
     BUSY("busy");
 
