--- a/router/src/main/java/ironwind/net/CallOutRequest.java
+++ b/router/src/main/java/ironwind/net/CallOutRequest.java
@@ -20,7 +20,10 @@
         this.exchange = exchange;
     }
 
-    /** Writes the request at once if a connection is idle, otherwise once one is established. */
+    /**
+     * Writes the request at once if a connection is idle. Otherwise opens one, and {@link
+     * LogicTask#onConnected} writes or skips the request once it is established.
+     */
     void start(HostConnectionPool pool, Moment now, Timers.Timer timeoutTimer) {
         timeout = timeoutTimer;
         connection = pool.acquire(callOut.host.id, this);
@@ -47,7 +50,7 @@
         connection.write(Encoder.query(exchange.statement.withTimeLeft(Math.max(1, timeLeftMs))));
     }
 
-    /** Gives up the request before it is written, and leaves its established connection open. */
+    /** Gives up the request before it is written, and returns its connection to the pool. */
     void skip() {
         connection.releaseUnused();
         onEnded(Ending.NOT_SENT, null);
--- a/router/src/main/java/ironwind/net/ClientConnection.java
+++ b/router/src/main/java/ironwind/net/ClientConnection.java
@@ -41,7 +41,10 @@
     private Exchange lastPending;
     private int pendingCount;
 
-    /** Upper bound of how long the connection, and its first command, waited to be accepted. */
+    /**
+     * Lag of the event loop when the connection was accepted. It is added to the delay of the first
+     * RPC, and zero after that. Time during which accepting was paused is not included.
+     */
     private Span acceptDelay;
 
     private boolean startupDone;
@@ -55,7 +58,10 @@
      */
     private Ending pendingEnding;
 
-    /** Whether a fatal error was written, so that only the client's close is awaited. */
+    /**
+     * Whether a fatal error was written. The connection is not read any more and is closed after a
+     * grace period in which the client can read the error.
+     */
     private boolean closing;
 
     private boolean closed;
@@ -84,7 +90,7 @@
         }
     }
 
-    /** Reads a connection that the read scheduler has queued. */
+    /** Reads from the socket when the read scheduler takes the connection from its queue. */
     void readQueued() {
         if (!closed) {
             read();
@@ -116,8 +122,8 @@
     }
 
     /**
-     * Executes the commands that have arrived, until too many are unanswered or too many answers
-     * are unsent.
+     * Executes the commands that have arrived, until too many are unanswered or too many bytes of
+     * answers are unsent.
      */
     private void processInput() {
         if (processing) {
@@ -198,8 +204,8 @@
     }
 
     /**
-     * Returns how long a command that is executed now may have waited before it was read: the lag
-     * of the event loop, for the first command plus the wait to be accepted.
+     * Returns how long an RPC that is started now may have waited before it was read: the lag of
+     * the event loop, and for the first RPC also the lag when the connection was accepted.
      */
     Span takeInputDelay(Span lag) {
         Span delay = lag.plus(acceptDelay);
@@ -217,7 +223,7 @@
 
     // ---- output
 
-    /** Answers with an error, in the form that the encoder gives it. */
+    /** Counts and logs malformed input, and answers it with an error that the encoder encodes. */
     private void answerError(PgException e, Function<PgError, byte[]> encoder) {
         connections.recordMalformed(e);
         addExchange(null, 0).answer(encoder.apply(new PgError(e.sqlState, e.getMessage(), null)));
@@ -317,7 +323,8 @@
     }
 
     /**
-     * Updates the connection's state and read interest, and closes it if nothing keeps it open.
+     * Updates the connection's state and read interest. Closes the connection if it is to be closed
+     * by the router and no command or message is in progress.
      *
      * @param restart whether the timeout starts again even if the state is the same
      */
--- a/router/src/main/java/ironwind/net/ClientConnections.java
+++ b/router/src/main/java/ironwind/net/ClientConnections.java
@@ -45,13 +45,13 @@
     /** How often timeouts are checked, with one timer for all connections. */
     private static final Span HOUSEKEEPING_INTERVAL = Span.ofMillis(100);
 
-    /** Longest step of the monotonic time; a longer one is a pause of the process. */
+    /** Longest step of the monotonic time. The excess is skipped: it is a pause of the process. */
     private static final Span MAX_TIME_STEP = Span.ofMillis(500);
 
     /** Lag of the event loop above which it is logged. */
     private static final Span LAG_WARNING_THRESHOLD = Span.ofMillis(200);
 
-    /** Connections closed at a time, before the others are served again. */
+    /** Connections closed in one event loop task, so that the others are served in between. */
     private static final int CLOSE_BATCH_SIZE = 256;
 
     /**
@@ -64,8 +64,8 @@
     private static final int KEEPALIVE_PROBES = 3;
 
     /**
-     * The settings tell how long clients wait for a method. A deadline in a comment that is longer
-     * than this multiple of it is malformed.
+     * Longest deadline in a comment, as a multiple of the method's deadline in the settings, which
+     * is how long its clients wait; a longer one is malformed.
      */
     private static final double MAX_DEADLINE_MULTIPLE = 4;
 
@@ -171,8 +171,8 @@
     }
 
     /**
-     * Starts a warm-up. Its requests are answered until the router is ready, and a little longer
-     * for those that are on their way.
+     * Starts a warm-up. Its requests are answered until the startup timeout has passed after the
+     * router became ready, because some may still be in flight then.
      */
     void warmUp(Warmup newWarmup) {
         warmup = newWarmup;
@@ -357,7 +357,10 @@
         }
     }
 
-    /** Reads queued connections for one turn; active ones are polled before the next. */
+    /**
+     * Reads queued connections for one turn. The next turn is a new task, so the event loop polls
+     * the sockets in between and active connections are read first.
+     */
     private void runTurn() {
         turnScheduled = false;
         readScheduler.beginTurn(now());
@@ -425,8 +428,8 @@
     }
 
     /**
-     * Releases the memory of an answered command. If its customer is over the limit of connections,
-     * evicts another one that is idle.
+     * Releases the memory of an answered command, and schedules a turn if connections are queued.
+     * If the RPC's customer is over its limit of connections, evicts another of them that is idle.
      */
     void onAnswered(ClientConnection client, Exchange exchange) {
         if (readScheduler.hasQueued()) {
@@ -448,7 +451,7 @@
         timers.execute(action);
     }
 
-    /** Counts and logs malformed input of a client. */
+    /** Counts and logs input of a client that is malformed, too slow or finds no memory. */
     void recordMalformed(PgException e) {
         counters.add(Count.MALFORMED);
         log.warn("client_malformed", "code", e.sqlState, "what", e.getMessage());
@@ -479,7 +482,7 @@
     /**
      * Executes one command.
      *
-     * @throws PgException if the command is malformed
+     * @throws PgException if the command is malformed or not supported
      */
     void execute(ClientConnection client, String sql) {
         Statement statement = Statement.parse(sql);
--- a/router/src/main/java/ironwind/net/Counters.java
+++ b/router/src/main/java/ironwind/net/Counters.java
@@ -24,7 +24,10 @@
         ABORTED("aborted"),
         /** RPCs whose client disconnected before the answer. */
         ABANDONED("left"),
-        /** Malformed or unsupported messages and statements of clients. */
+        /**
+         * Messages and statements of clients that are malformed or unsupported, and messages that
+         * arrived too slowly or found no memory.
+         */
         MALFORMED("malformed"),
         /** Call-outs that were sent or attempted. */
         CALL_OUTS("call_outs"),
@@ -32,7 +35,7 @@
         PROBES("probes"),
         /** Connections to hosts that were opened. */
         HOST_CONNECTIONS("host_connections"),
-        /** Updates from discovery. */
+        /** Updates from discovery that are full lists or name at least one host. */
         DISCOVERY_UPDATES("lists"),
         /** Unexpected exceptions. */
         FAULTS("faults");
--- a/router/src/main/java/ironwind/net/Ending.java
+++ b/router/src/main/java/ironwind/net/Ending.java
@@ -24,7 +24,7 @@
     NO_SOCKET("no_socket"),
     /** The connection was lost or unusable before the request was written completely. */
     LOST_BEFORE_SENT("broke_unwritten"),
-    /** The host closed the connection after the request was written, without an answer. */
+    /** The connection was lost after the request was written, before the answer was complete. */
     LOST_AFTER_SENT("broke_written"),
     /** The answer is malformed, incomplete or too large. */
     MALFORMED_ANSWER("garbled"),
@@ -50,7 +50,10 @@
     CLIENT_LEFT("client_left"),
     /** The router closed the connection, for example at a timeout or while draining. */
     CLIENT_CLOSED_BY_ROUTER("client_dismissed"),
-    /** The router evicted the connection after sending a fatal error on it. */
+    /**
+     * The router evicted the connection during the grace period after a fatal error. One that
+     * outlasts the grace period ends as {@link #CLIENT_CLOSED_BY_ROUTER}.
+     */
     CLIENT_FATAL_ERROR("client_malformed");
 
     private final String label;
