--- a/router/src/main/java/ironwind/net/Discovery.java
+++ b/router/src/main/java/ironwind/net/Discovery.java
@@ -82,7 +82,7 @@
      * Applies the initial host list and starts polling.
      *
      * @param initialHostList a list as the discovery service would send it
-     * @param firstAnswer runs once, after the first answer of the service
+     * @param firstAnswer runs once, after the first valid answer of the service
      */
     void start(JsonObject initialHostList, Runnable firstAnswer) {
         apply(initialHostList);
@@ -93,7 +93,7 @@
 
     /**
      * Switches to another address: drops the current watch, including answers that are still in
-     * flight, and asks there for a full list. Does nothing if the address is the same.
+     * flight, and requests a full list there. Does nothing if the address is the same.
      */
     void switchTo(Address next) {
         if (!stopped && !next.equals(address)) {
@@ -166,7 +166,7 @@
                 });
     }
 
-    /** Applies an answer, but only after all of it has been parsed. */
+    /** Applies an answer after all of it has been parsed, so that a malformed one has no effect. */
     private void apply(JsonObject answer) {
         JsonArray servers = answer.getJsonArray("servers");
         boolean full = answer.getBoolean("full", true);
@@ -207,7 +207,7 @@
                 PRIMARY.equals(server.getString("role")));
     }
 
-    /** Returns the index of a name; all names that the settings don't have share the next one. */
+    /** Returns the index of a name; all names that are not listed share the next free index. */
     private static int indexOf(List<String> names, String name) {
         int index = names.indexOf(name);
         return index < 0 ? names.size() : index;
--- a/router/src/main/java/ironwind/net/HostAnswer.java
+++ b/router/src/main/java/ironwind/net/HostAnswer.java
@@ -80,7 +80,7 @@
         return errorEnding != null || commandTag != null;
     }
 
-    /** Returns the answer's row; its parts are null as far as they have not arrived. */
+    /** Returns the answer's row; parts of it that have not arrived are null. */
     Row row() {
         return new Row(rowDescription, dataRow, commandTag);
     }
@@ -95,7 +95,8 @@
     }
 
     /**
-     * Returns the log position that the host reported, rounded down; {@link Moment#NEVER} for none.
+     * Returns the log position that the host reported, rounded down; {@link Moment#NEVER} if there
+     * is none or it is invalid.
      */
     Moment position(Moment now) {
         return parsePosition(parameters.get("applied_ms"), MILLIS_SCALE, now);
@@ -112,7 +113,10 @@
                 : primaryFlag.compareTo(BigDecimal.ONE) >= 0 ? Role.PRIMARY : Role.REPLICA;
     }
 
-    /** Returns the log position in a load report, rounded down; {@link Moment#NEVER} for none. */
+    /**
+     * Returns the log position in a load report, rounded down; {@link Moment#NEVER} if there is
+     * none or it is invalid.
+     */
     Moment loadReportPosition(Moment now) {
         return parsePosition(loadReportValue("x0"), SECONDS_SCALE, now);
     }
--- a/router/src/main/java/ironwind/net/HostConnection.java
+++ b/router/src/main/java/ironwind/net/HostConnection.java
@@ -27,10 +27,10 @@
     /** Whether {@link #onMessageTimeout} is scheduled. */
     private boolean messageTimeoutScheduled;
 
-    /** Bytes reserved for the received part of an answer and for the rest of its message. */
+    /** Bytes reserved for the messages of the current answer that did not arrive in one piece. */
     private int reservedBytes;
 
-    /** Bytes that reading waits for until the pool can reserve them; zero if it doesn't wait. */
+    /** Bytes that must be reserved before reading resumes; zero if it isn't paused for memory. */
     private int awaitedBytes;
 
     /** Part of {@link #reservedBytes} that belongs to the incomplete message. */
@@ -153,8 +153,8 @@
 
     private void onBytes(byte[] bytes) {
         if (ready && !isRequestWritten()) {
-            // Data behind an answer or ahead of the request's end: from here on, answers cannot be
-            // matched to requests.
+            // Data after the end of an answer, or before the request was written completely: from
+            // here on, answers cannot be matched to requests.
             pool.logUnsolicitedData(this, bytes.length);
             end(request == null ? Ending.UNSOLICITED_DATA : Ending.LOST_BEFORE_SENT);
             return;
@@ -185,8 +185,8 @@
     }
 
     /**
-     * Reserves memory for the rest of an incomplete message, and pauses reading until there is
-     * some. Messages that arrived completely need none: they have been passed on or dropped.
+     * Reserves memory for the whole of an incomplete message, and pauses reading until there is
+     * enough. A message that arrived in one piece needs none: the decoder no longer buffers it.
      */
     private void reserveMemory() {
         int missing =
@@ -237,7 +237,8 @@
 
     /**
      * Ends the connection if a message has not arrived completely in time. Guards against an answer
-     * that begins and never ends: its host does not count as silent, and all others keep waiting.
+     * that begins and never ends: its host need not count as silent, and all connections that wait
+     * for memory would keep waiting.
      */
     private void onMessageTimeout() {
         if (!closed && decoder.hasBufferedBytes()) {
@@ -278,7 +279,7 @@
 
     @Override
     public void onFailure() {
-        // Deferred, because the caller of write is still at work.
+        // Deferred, because the caller may be in the middle of a write.
         pool.execute(this::onDisconnected);
     }
 
--- a/router/src/main/java/ironwind/net/HostConnectionPool.java
+++ b/router/src/main/java/ironwind/net/HostConnectionPool.java
@@ -28,7 +28,7 @@
 final class HostConnectionPool {
     /**
      * Fraction of the hosts' idle timeout after which the router itself closes an idle connection:
-     * a request that crosses the host's close would be lost.
+     * a request that is sent while the host closes the connection would be lost.
      */
     private static final double IDLE_TIMEOUT_FRACTION = 0.75;
 
@@ -53,7 +53,7 @@
 
     /**
      * Largest accepted message body of a host, in bytes. It is above the protocol specification's
-     * cap on values, because some messages that are larger than that are valid.
+     * cap on values, because valid messages can be larger than that cap.
      */
     final int maxMessageBytes;
 
@@ -70,7 +70,8 @@
     private int openSockets;
 
     /**
-     * Connections that don't read until there is memory for the rest of a message, oldest first.
+     * Connections that don't read until there is memory for an incomplete message, in the order in
+     * which they began to wait.
      */
     private final Deque<HostConnection> waitingForMemory = new ArrayDeque<>();
 
