--- a/router/src/main/antlr4/ironwind/hcl/Hcl.g4
+++ b/router/src/main/antlr4/ironwind/hcl/Hcl.g4
@@ -1,6 +1,6 @@
 /**
- * The subset of HCL that settings files use: attributes, blocks with labels, literals and lists, but
- * no expressions.
+ * The subset of HCL that settings files use: attributes, blocks with labels, literals and lists,
+ * but no expressions.
  */
 grammar Hcl;
 
--- a/router/src/main/java/ironwind/adapter/SimulatedRouter.java
+++ b/router/src/main/java/ironwind/adapter/SimulatedRouter.java
@@ -21,7 +21,7 @@
 
 /**
  * One router instance under the simulator. Resolves the ids in events to model objects, calls the
- * decision module, and writes its decisions as lines with ids.
+ * decision logic, and writes its decisions as lines with ids.
  */
 final class SimulatedRouter implements Outbound {
     private static final Map<String, Outcome> OUTCOMES =
@@ -45,7 +45,10 @@
                     "empty",
                     Outcome.INELIGIBLE);
 
-    /** The field {@code note} holds this factor times the position in ms, plus the role. */
+    /**
+     * The field {@code note} holds this factor times the position, in milliseconds from {@link
+     * Deployment#positionEpoch()}, plus the role.
+     */
     private static final int NOTE_FACTOR = 4;
 
     private static final int ROLE_PRIMARY = 1;
@@ -90,7 +93,7 @@
                         ? null
                         : deployment.customers().get(requireIndex(line, "account", count));
         double tokenAgeMs = line.getDouble("token_age_ms", 0);
-        // Rounded down, so that the position required is never too low.
+        // The age is rounded down, so that the required position is never too low.
         Moment token =
                 tokenAgeMs <= 0
                         ? Moment.NEVER
@@ -197,9 +200,8 @@
     }
 
     /**
-     * Runs a call of the decision module. After an exception this router ignores all further
-     * events; the exception and where it was thrown are reported to the simulator, and other
-     * routers go on.
+     * Runs a call of the decision logic. After an exception this router ignores all further events;
+     * the exception and where it was thrown are reported to the simulator, and other routers go on.
      */
     private void runLogic(Runnable call) {
         if (failed) {
--- a/router/src/main/java/ironwind/boot/Main.java
+++ b/router/src/main/java/ironwind/boot/Main.java
@@ -17,8 +17,8 @@
 import java.nio.file.Path;
 
 /**
- * The command line of the router's own jar: few commands and a quick start. The command line with
- * all commands is in {@code ironwind.cli}.
+ * The command line of the router's own jar, which has only a few commands so that it starts
+ * quickly. The command line with all commands is in {@code ironwind.cli}.
  */
 public final class Main {
     private static final String USAGE =
--- a/router/src/main/java/ironwind/hcl/BlockReader.java
+++ b/router/src/main/java/ironwind/hcl/BlockReader.java
@@ -67,8 +67,8 @@
     }
 
     /**
-     * Returns a reader of the nested block with this name, which may occur once and has no labels;
-     * the reader of an empty block if it is absent.
+     * Returns a reader of the nested block with this name, which may occur at most once and takes
+     * no labels; the reader of an empty block if it is absent.
      */
     public BlockReader block(String name) {
         knownNames.add(name);
--- a/router/src/main/java/ironwind/hcl/HclReader.java
+++ b/router/src/main/java/ironwind/hcl/HclReader.java
@@ -34,8 +34,7 @@
     }
 
     /**
-     * Parses a text. Two items on one line are added to the diagnostics, but nothing is thrown for
-     * them.
+     * Parses a text. Two items on one line are reported to the diagnostics without an exception.
      *
      * @param diagnostics receives the problems found
      * @throws HclException if the text has a syntax error, or if {@code diagnostics} was not empty
--- a/router/src/main/java/ironwind/net/ClientConnections.java
+++ b/router/src/main/java/ironwind/net/ClientConnections.java
@@ -69,7 +69,10 @@
      */
     private static final double MAX_DEADLINE_MULTIPLE = 4;
 
-    /** Memory of an open RPC beside its statement, which is held as text and as attributes. */
+    /**
+     * Memory of an open RPC in bytes, beside its statement. That is held as text and as attributes,
+     * for which twice the length of the text is counted.
+     */
     private static final int OPEN_RPC_BYTES = 1_024;
 
     final IoEventLoop loop;
--- a/router/src/main/java/ironwind/net/Exchange.java
+++ b/router/src/main/java/ironwind/net/Exchange.java
@@ -5,7 +5,7 @@
 
 /** A command of a client and its answer, in a list of the connection's unanswered commands. */
 final class Exchange {
-    /** The statement of an RPC, even of one of the warm-up; null for any other command. */
+    /** The statement of an RPC, including one of the warm-up; null for any other command. */
     final Statement statement;
 
     private final Runnable onAnswered;
@@ -13,7 +13,7 @@
     /** The RPC that the command started; null before it is created and if there is none. */
     Rpc rpc;
 
-    /** Fires if the RPC is not answered in time; null for any other command. */
+    /** Fires if the RPC is not answered in time; null before it is created and if there is none. */
     Timers.Timer watchdog;
 
     /** The next command of the same connection; null if there is none. */
--- a/router/src/main/java/ironwind/net/Log.java
+++ b/router/src/main/java/ironwind/net/Log.java
@@ -71,9 +71,9 @@
     }
 
     /**
-     * Also logs, as warnings, what libraries log with java.util.logging, and removes its own
-     * handlers: they open files to write a line, which fails if no descriptors are left and then
-     * ends the thread.
+     * Also logs, as warnings, what libraries log with java.util.logging, and removes the handlers
+     * of java.util.logging: they open files to write a line, which fails if no descriptors are left
+     * and then ends the thread.
      *
      * @return this log
      */
--- a/router/src/main/java/ironwind/net/LogicTask.java
+++ b/router/src/main/java/ironwind/net/LogicTask.java
@@ -121,7 +121,7 @@
     private record Event(Exchange exchange, Consumer<Moment> action) {}
 
     /**
-     * Creates the decision logic.
+     * Creates a task with its decision logic.
      *
      * @param logicFactory creates it, given the receiver of its actions
      */
@@ -313,7 +313,7 @@
                 });
     }
 
-    /** The connection of a call-out is established: writes it if the logic still wants it sent. */
+    /** The connection of a call-out is established: writes it if the logic still permits that. */
     void onConnected(CallOutRequest request) {
         enqueue(
                 request.exchange,
--- a/router/src/main/java/ironwind/net/LoopSocket.java
+++ b/router/src/main/java/ironwind/net/LoopSocket.java
@@ -68,7 +68,10 @@
     static final class Buffers {
         private static final int PAGE_BYTES = 8_192;
 
-        /** A chunk of the pool has 256 KiB, enough for a few answers of the largest size. */
+        /**
+         * A chunk of the pool has 256 KiB (the page size times 2 to this power), enough for a few
+         * answers with values of the largest size.
+         */
         private static final int CHUNK_ORDER = 5;
 
         /**
@@ -211,7 +214,7 @@
     /**
      * Writes what the operating system accepts and keeps the rest as unsent data.
      *
-     * @return number of bytes kept; zero if the socket is closed
+     * @return number of these bytes that are kept; zero if the socket is closed
      */
     int write(byte[]... parts) {
         int total = 0;
--- a/router/src/main/java/ironwind/net/Router.java
+++ b/router/src/main/java/ironwind/net/Router.java
@@ -25,19 +25,19 @@
  */
 public final class Router {
     /**
-     * By PROTOCOL, SIGKILL follows SIGTERM no sooner than after the longest deadline, counted up to
-     * this value, plus {@link #KILL_GRACE_MS}.
+     * By the protocol specification (PROTOCOL), SIGKILL follows SIGTERM no sooner than after the
+     * longest deadline, of which at most this much counts, plus {@link #KILL_GRACE_MS}.
      */
     private static final long MAX_DEADLINE_MS = 3_000;
 
     private static final long KILL_GRACE_MS = 700;
 
-    /** Part of that time that is left for writing the last answers. */
+    /** Part of the time until SIGKILL that is left for writing the last answers. */
     private static final long FINAL_WRITE_MS = 300;
 
     /**
-     * Fraction of that time in which connected clients are still served, while other routers take
-     * over.
+     * Fraction of the time until SIGKILL in which connected clients are still served, while other
+     * routers take over.
      */
     private static final double SERVING_FRACTION = 0.5;
 
@@ -74,15 +74,15 @@
                 outbound -> new Logic(config.deployment(), config.seed(), outbound));
     }
 
-    /** Creates a router with the default settings and another decision module. */
+    /** Creates a router with the default settings and other decision logic. */
     Router(RouterConfig config, Log log, Function<Outbound, Inbound> module) {
         this(config, OperatorSettings.defaults(config), log, module);
     }
 
     /**
-     * Creates a router with the operator's settings and another decision module.
+     * Creates a router with the operator's settings and other decision logic.
      *
-     * @param module creates the decision module, which is {@link Logic} otherwise
+     * @param module creates the decision logic, which is {@link Logic} otherwise
      */
     Router(
             RouterConfig config,
@@ -253,7 +253,8 @@
     /**
      * Serves connected clients for a while, so that other routers can take over, then closes each
      * connection between two requests. The future completes when none is left, or else shortly
-     * before PROTOCOL allows the process to be killed; all RPCs have been answered by then.
+     * before the protocol specification allows the process to be killed; all RPCs have been
+     * answered by then.
      */
     public Future<Void> drain() {
         Promise<Void> drained = Promise.promise();
--- a/router/src/main/java/ironwind/net/Warmup.java
+++ b/router/src/main/java/ironwind/net/Warmup.java
@@ -28,9 +28,9 @@
 /**
  * Sends RPCs through the whole router before it reports that it is ready, so that the code that
  * serves the first clients is loaded and compiled by then. On a fraction of a core that takes
- * seconds, for which those clients would have to wait. It has a decision module, a logic task and
- * host connections of its own. The address of all its hosts is the router's own, where the router
- * recognizes the requests by their ids and answers them with {@link #answerTo}.
+ * seconds, for which those clients would have to wait. The warm-up has decision logic, a logic task
+ * and host connections of its own. All its hosts have the address of the router itself, which
+ * recognizes their requests by the ids and answers them with {@link #answerTo}.
  */
 final class Warmup {
     /** Enough RPCs for the code that serves them to reach the JVM's compilation threshold. */
@@ -65,7 +65,7 @@
     /**
      * Creates a warm-up and starts its timeout.
      *
-     * @param module creates the decision module
+     * @param module creates the decision logic
      * @param maxSockets most connections that the warm-up may open
      * @param onDone receives the number of RPCs that were started
      */
--- a/router/src/main/java/ironwind/pg/ClientMessage.java
+++ b/router/src/main/java/ironwind/pg/ClientMessage.java
@@ -21,7 +21,10 @@
     /** A Terminate message. */
     record Terminate() implements ClientMessage {}
 
-    /** A message of the extended query protocol; it is skipped until the next {@link Sync}. */
+    /**
+     * A message of the extended query protocol, or a FunctionCall. The first one is answered with
+     * an error, and those that follow are skipped until the next {@link Sync}.
+     */
     record ExtendedQuery() implements ClientMessage {}
 
     /** A Sync message. */
