--- a/lab/src/main/java/ironwind/lab/AsyncClient.java
+++ b/lab/src/main/java/ironwind/lab/AsyncClient.java
@@ -10,8 +10,8 @@
 
 /**
  * A client connection on an event loop that sends reads and reports the outcome of each. It has at
- * most one outstanding request, except in {@link #sendReadsPaused}, and allocates a receive buffer
- * only while a message is incomplete, so that large numbers of idle clients fit into one process.
+ * most one outstanding request, except in {@link #sendReadsPaused}, and keeps a receive buffer only
+ * while a message is incomplete, so that large numbers of idle clients fit into one process.
  */
 final class AsyncClient implements EventLoop.Handler {
     private static final int MAX_MESSAGE_BYTES = 1 << 22;
@@ -36,7 +36,9 @@
         /** The startup handshake completed. */
         default void ready(AsyncClient client) {}
 
-        /** The connection was closed while no request was outstanding. */
+        /**
+         * The connection was closed, or could not be established, while no request was outstanding.
+         */
         default void closedWhileIdle(AsyncClient client) {}
     }
 
--- a/lab/src/main/java/ironwind/lab/ClientWorker.java
+++ b/lab/src/main/java/ironwind/lab/ClientWorker.java
@@ -14,9 +14,10 @@
 import java.util.concurrent.CountDownLatch;
 
 /**
- * A worker process that holds many client connections to routers. It reads commands from standard
- * input, one per line, and replies to each with one line of {@code name=number} pairs on standard
- * output: {@code open N}, {@code wake MS}, {@code slow N BYTES}, {@code count}, {@code quit}.
+ * A worker process that holds many client connections to routers. It reads the commands {@code open
+ * N}, {@code wake MS}, {@code slow N BYTES}, {@code count} and {@code quit} from standard input,
+ * one per line, and replies to each except {@code quit} with one line of {@code name=number} pairs
+ * on standard output.
  */
 public final class ClientWorker {
     /** Connections that may be connecting or awaiting their first response at the same time. */
@@ -28,7 +29,7 @@
     private static final int PIPELINED_REQUESTS = 8;
 
     /**
-     * Rate at which slow readers send their requests. It is kept low because the benchmark measures
+     * Slow readers that start to send per second. The rate is low because the benchmark measures
      * the effect of unread responses, not that of a burst of requests.
      */
     private static final int SLOW_READERS_PER_SECOND = 200;
@@ -153,8 +154,8 @@
     }
 
     /**
-     * Sends a read on every idle connection at once; returns when each was answered or closed.
-     * {@code sent_ms} is the time it took to send them.
+     * Sends a read on every idle connection at once, and waits until each was answered or closed.
+     * {@code sent_ms} in the reply is the time that sending them took.
      */
     private String sendFromAllIdle(long deadlineMs) throws InterruptedException {
         Map<Outcome, Integer> outcomes = new EnumMap<>(Outcome.class);
@@ -185,7 +186,10 @@
                 + sendNanos[0] / 1_000_000;
     }
 
-    /** Opens connections that request large values repeatedly and never read the responses. */
+    /**
+     * Opens connections and schedules on each a pipeline of requests for large values, whose
+     * responses are never read. Returns before the requests are sent.
+     */
     private String openSlowReaders(int count, String bytes) throws InterruptedException {
         String line = open(count, false);
         CountDownLatch scheduled = new CountDownLatch(1);
--- a/lab/src/main/java/ironwind/lab/IdleBenchmark.java
+++ b/lab/src/main/java/ironwind/lab/IdleBenchmark.java
@@ -51,10 +51,10 @@
      * @param secondsPerRun duration of each measurement
      * @param wakeDeadlineMs deadline of the requests that all idle clients send at the same time; 0
      *     sends none
-     * @param slowReaders number of clients that at the end request 64 KiB values repeatedly and
+     * @param slowReaders number of clients that at the end pipeline requests for 64 KiB values and
      *     never read the responses; 0 for none
      * @param core CPU that the routers are pinned to; negative for none
-     * @param heapMb maximum heap and memory limit of each router
+     * @param heapMb maximum heap size and configured memory limit of each router, in MiB
      * @param hclFile file of the routers' operator settings; may be null
      */
     public record Plan(
@@ -272,7 +272,7 @@
         }
     }
 
-    /** Connections held by the last worker. */
+    /** Connections that the last worker was told to open. */
     private int inLastWorker;
 
     private long countOpen(List<ClientWorkerProcess> workers) throws IOException {
@@ -373,8 +373,9 @@
         slowWorker.send("slow " + plan.slowReaders() + " 65536");
         slowWorker.readReply();
         Result during = load.run(plan.secondsPerRun());
-        // All slow readers have sent their requests by now, so this measures their steady-state
-        // cost.
+        // Measures the steady state after the slow readers have sent their requests. The run above
+        // is long enough for this if their number divided by its seconds is at most
+        // ClientWorker.SLOW_READERS_PER_SECOND.
         Result after = load.run(plan.secondsPerRun());
         double peakMb = 0;
         for (RouterProcess router : routers) {
--- a/lab/src/main/java/ironwind/lab/KeeperBenchmark.java
+++ b/lab/src/main/java/ironwind/lab/KeeperBenchmark.java
@@ -35,16 +35,15 @@
     private static final class SocketlessConnection extends TrackedConnection {}
 
     /**
-     * Returns, for each number of connections, the median over rounds in nanoseconds per step and
-     * the bytes of heap per connection.
+     * Returns, for each number of connections, the median over all rounds of the nanoseconds per
+     * step of each kind, and the bytes of heap per connection.
      */
     public JsonArray run(List<Integer> connectionCounts) throws InterruptedException {
         JsonArray results = new JsonArray();
         out.printf(
                 "%10s %14s %14s %14s %10s%n",
                 "open", "timer step ns", "answer ns", "eviction ns", "bytes each");
-        // Warm-up run, so that the first reported figures are not those of code that has not been
-        // compiled yet.
+        // Warm-up run, so that the code is compiled before the first reported measurement.
         measure(connectionCounts.get(0));
         for (int connections : connectionCounts) {
             double[] figures = measure(connections);
--- a/lab/src/main/java/ironwind/lab/LoadGenerator.java
+++ b/lab/src/main/java/ironwind/lab/LoadGenerator.java
@@ -12,9 +12,10 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Open-loop load generator: sends reads at a fixed rate, whatever the responses. Latency is
- * measured from the time at which a request was due rather than sent, so that a stall does not hide
- * in delayed requests (coordinated omission).
+ * Open-loop load generator: sends reads at a fixed rate, independent of the responses. Latency is
+ * measured from the time at which a request was due rather than sent, and requests that find no
+ * idle connection are counted, so that a stall is not hidden by delayed or omitted requests
+ * (coordinated omission).
  */
 final class LoadGenerator implements AutoCloseable {
     private static final long MAX_LATENCY_US = 60_000_000;
--- a/lab/src/main/java/ironwind/lab/SocketBenchmark.java
+++ b/lab/src/main/java/ironwind/lab/SocketBenchmark.java
@@ -25,8 +25,8 @@
 import java.util.concurrent.CountDownLatch;
 
 /**
- * Measures the live heap of one accepted connection, by the layer of the I/O libraries that it is
- * used through.
+ * Measures the live heap per connection at one layer of the I/O libraries, from a bare NIO channel
+ * to a Vert.x socket.
  */
 public final class SocketBenchmark {
     private static final long GC_SETTLE_MS = 300;
--- a/lab/src/test/java/ironwind/lab/BlockingClient.java
+++ b/lab/src/test/java/ironwind/lab/BlockingClient.java
@@ -20,7 +20,7 @@
     final Socket socket = new Socket();
     private final FrameDecoder frames = new FrameDecoder(false, HostMessage.TYPES, 1 << 20);
 
-    /** The first and second values of each row of the last response. */
+    /** The second value of each row of the last response, by the first value. */
     final Map<String, String> rows = new TreeMap<>();
 
     BlockingClient(int port) throws IOException {
--- a/lab/src/test/java/ironwind/lab/IdleRouterTest.java
+++ b/lab/src/test/java/ironwind/lab/IdleRouterTest.java
@@ -36,7 +36,7 @@
 
 /**
  * Connection limits and overload, tested over sockets with a router between clients and stand-in
- * hosts. Executions are counted at the hosts.
+ * hosts. Executions are counted at the primary.
  */
 @Timeout(value = 30, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class IdleRouterTest {
@@ -127,7 +127,7 @@
         return client;
     }
 
-    /** Connects a client and has it served once. */
+    /** Connects a client and completes one read on it. */
     private BlockingClient servedClient() throws IOException {
         BlockingClient client = connect();
         assertThat(client.startUp()).isEqualTo("ready");
@@ -142,7 +142,10 @@
                         + ",c=write,d=4000,cluster=0,t=one */ INSERT INTO state (uid) VALUES ('k')");
     }
 
-    /** Connects clients on the event loop and has each served once; later outcomes are counted. */
+    /**
+     * Connects clients on the event loop and completes one read on each. The outcomes of later
+     * requests are counted.
+     */
     private List<AsyncClient> connectServedClients(
             int count, Map<Outcome, Integer> outcomes, CountDownLatch completed) throws Exception {
         CountDownLatch ready = new CountDownLatch(count);
@@ -444,8 +447,8 @@
     }
 
     /**
-     * Guards against startups and messages that never complete; the error and the counter tell the
-     * cases apart.
+     * Guards against connections that never complete a startup or a message, or never send a first
+     * request; the error and the counter tell the cases apart.
      */
     @ParameterizedTest(name = "{0} bytes of a startup message, {1} of a request: {2}")
     @CsvSource({
