--- a/cli/src/main/java/ironwind/cli/LabSockets.java
+++ b/cli/src/main/java/ironwind/cli/LabSockets.java
@@ -6,7 +6,8 @@
 import picocli.CommandLine.Option;
 
 /**
- * {@code ironwind lab sockets}: measures what a connection costs by the layers above its socket.
+ * {@code ironwind lab sockets}: measures the live heap per connection at one layer of the I/O
+ * libraries.
  */
 @Command(
         name = "sockets",
--- a/cli/src/main/java/ironwind/cli/LogbackSink.java
+++ b/cli/src/main/java/ironwind/cli/LogbackSink.java
@@ -13,7 +13,10 @@
 import org.slf4j.LoggerFactory;
 import org.slf4j.spi.LoggingEventBuilder;
 
-/** Writes log lines through SLF4J and Logback, together with those of libraries that use SLF4J. */
+/**
+ * Writes log lines to standard error through SLF4J and Logback, together with those of libraries
+ * that use SLF4J.
+ */
 final class LogbackSink implements Log.Sink {
     private static final String PAIRS_PATTERN =
             "%d{\"yyyy-MM-dd'T'HH:mm:ss.SSS'Z'\", UTC} %level %msg %kvp{DOUBLE}%n";
--- a/router/src/test/java/ironwind/net/HostAnswerTest.java
+++ b/router/src/test/java/ironwind/net/HostAnswerTest.java
@@ -13,8 +13,8 @@
     private static final Moment NOW = Moment.ofMillis(1767225600124L);
 
     /**
-     * Guards against a position that is too high, because parsing or arithmetic rounds it up, and
-     * against one that is made of a malformed or absurd value.
+     * Guards against a position that parsing or arithmetic rounds up, and against one that is taken
+     * from a malformed or implausible value, such as a time in the future.
      */
     @ParameterizedTest(name = "applied_ms {0}, role {1}: {2}, {3}")
     @CsvSource({
--- a/router/src/test/java/ironwind/net/RouterTest.java
+++ b/router/src/test/java/ironwind/net/RouterTest.java
@@ -493,7 +493,8 @@
 
     /**
      * Guards against a request that is sent while its host closes the idle connection: the router
-     * cannot tell whether it ran.
+     * could not tell whether it ran. The router therefore closes idle connections before the host
+     * does.
      */
     @Test
     void idleHostConnectionsAreClosedByTheRouter() throws Exception {
@@ -559,7 +560,9 @@
         assertThat(client.readResponse()).isEqualTo("E08P01 closed");
     }
 
-    /** Values may have 64 KiB, hexadecimal in a statement and binary in a response. */
+    /**
+     * Values of the largest size, 64 KiB, are hexadecimal in a statement and binary in a response.
+     */
     @Test
     void largeValuesAreForwardedInBothDirections() throws Exception {
         rowValue = new byte[64 * 1024];
@@ -971,7 +974,10 @@
             return !List.of("reset", "close", "row and close").contains(action);
         }
 
-        /** Sends a row without its ReadyForQuery, followed by the given trailer. */
+        /**
+         * Sends a row and the parameters {@code role} and {@code applied_ms}, then the trailer
+         * instead of ReadyForQuery.
+         */
         private void sendRow(PgConnection connection, byte[]... trailer) throws IOException {
             byte[] messages =
                     Encoder.row(
--- a/standin/src/main/java/ironwind/standin/EventLoop.java
+++ b/standin/src/main/java/ironwind/standin/EventLoop.java
@@ -94,7 +94,8 @@
     }
 
     /**
-     * Opens a connection. A failure to connect is reported to {@link Handler#closed}.
+     * Opens a connection. A failure to connect is reported to {@link Handler#closed}, possibly
+     * before this method returns.
      *
      * @param from local address to bind; null lets the system choose
      */
--- a/standin/src/main/java/ironwind/standin/StandInDiscovery.java
+++ b/standin/src/main/java/ironwind/standin/StandInDiscovery.java
@@ -11,7 +11,7 @@
 
 /**
  * A discovery service over HTTP that always returns the same full host list: at once to a plain
- * request, and after {@code wait_ms} to a long poll.
+ * request, and after {@code wait_ms}, at most one minute, to a long poll.
  */
 public final class StandInDiscovery implements AutoCloseable {
     private static final String WAIT_PARAMETER = "wait_ms=";
--- a/standin/src/main/java/ironwind/standin/StandInHost.java
+++ b/standin/src/main/java/ironwind/standin/StandInHost.java
@@ -13,9 +13,9 @@
 import java.util.Map;
 
 /**
- * A database host that speaks the PostgreSQL protocol. It answers every statement with one row
- * after a fixed delay and can count executions by request id. A key such as {@code big-65536}
- * selects the size of the returned value in bytes; any other key returns 64 bytes.
+ * A database host that speaks the PostgreSQL protocol. It answers every statement that is not empty
+ * with one row after a fixed delay, and can count executions by request id. A key such as {@code
+ * big-65536} selects the size of the returned value in bytes; any other key returns 64 bytes.
  */
 public final class StandInHost {
     private static final String SIZED_KEY_PREFIX = "big-";
