--- a/router/src/main/java/ironwind/Logic.java
+++ b/router/src/main/java/ironwind/Logic.java
@@ -57,7 +57,7 @@
     /** Multiple of the mean response time after which a trial at a suspect host has failed. */
     private static final double TRIAL_TIMEOUT_FACTOR = 3;
 
-    /** Time between two trials at a suspect host, doubled with each failed trial. */
+    /** Time between two trials at a suspect host, doubled with each unanswered trial. */
     private static final Span TRIAL_INTERVAL = Span.ofMillis(400);
 
     private static final int MAX_TRIAL_DOUBLINGS = 3;
@@ -97,10 +97,10 @@
     /**
      * Spending per RPC on probes for log positions, in the unit of {@link Deployment#probeCost()}.
      */
-    private static final double POSITION_PROBE_SPENDING = 0.002;
+    private static final double POSITION_PROBE_SPENDING_FRACTION = 0.002;
 
     /** Spending per RPC on probes of suspect hosts and for a missing primary, in the same unit. */
-    private static final double HEALTH_PROBE_SPENDING = 0.005;
+    private static final double HEALTH_PROBE_SPENDING_FRACTION = 0.005;
 
     private static final double MAX_PROBES_PER_RPC = 0.5;
 
@@ -136,10 +136,10 @@
     private static final Span LIMIT_CHANGE_INTERVAL = Span.ofMillis(100);
 
     /**
-     * Share of the primary's limit that is open to reads which a replica could serve; the rest is
-     * reserved for what only the primary serves.
+     * Fraction of the primary's limit that is open to reads which a replica could serve; the rest
+     * is reserved for what only the primary serves.
      */
-    private static final double PRIMARY_READ_SHARE = 0.6;
+    private static final double PRIMARY_READ_FRACTION = 0.6;
 
     /**
      * Time since the previous sample of an average after which a new one would have weight 1 if
@@ -172,22 +172,22 @@
      * for the response time: otherwise a method that only slow hosts serve would never be sent
      * again, and its response time never be measured again.
      */
-    private static final double MAX_RESPONSE_TIME_SHARE = 0.5;
+    private static final double MAX_RESPONSE_TIME_FRACTION = 0.5;
 
     /**
      * An RPC whose late utility is a smaller fraction of its utility does not stay pending past its
      * soft deadline, because a late failure costs more than an early one.
      */
-    private static final double MIN_LATE_UTILITY_SHARE = 0.4;
+    private static final double MIN_LATE_UTILITY_FRACTION = 0.4;
 
     /**
      * An RPC that was never sent is pushed back before this fraction of the client's time is over,
      * so that the client can retry.
      */
-    private static final double UNSENT_WAIT_SHARE = 0.5;
+    private static final double UNSENT_WAIT_FRACTION = 0.5;
 
     /** Fraction of the rate permitted to a cold host that is used, as a safety margin. */
-    private static final double COLD_BUDGET_MARGIN = 0.85;
+    private static final double COLD_BUDGET_FRACTION = 0.85;
 
     /** Sends to a cold host that all routers together may always make in a window. */
     private static final double MIN_COLD_SENDS = 3;
@@ -223,7 +223,7 @@
         /** No further call-out is possible or worthwhile. */
         UNSERVABLE,
         /** The final answer has already been given, or the client has left. */
-        CLOSED
+        FINISHED
     }
 
     /** On an event in a state, the state that follows and the action that is then run. */
@@ -235,17 +235,17 @@
         new Transition(State.PENDING, Event.ARRIVED, State.PENDING, Logic::admit),
         new Transition(State.PENDING, Event.SENT, State.IN_FLIGHT, (logic, rpc) -> {}),
         new Transition(State.PENDING, Event.UNSERVABLE, State.DONE, Logic::pushBackOrAbort),
-        new Transition(State.PENDING, Event.CLOSED, State.DONE, Logic::cancelInFlight),
+        new Transition(State.PENDING, Event.FINISHED, State.DONE, Logic::cancelInFlight),
         new Transition(State.IN_FLIGHT, Event.SENT, State.HEDGED, (logic, rpc) -> {}),
         new Transition(State.IN_FLIGHT, Event.OK, State.DONE, Logic::cancelInFlight),
         new Transition(State.IN_FLIGHT, Event.NOT_RUN, State.PENDING, Logic::enqueue),
         new Transition(
                 State.IN_FLIGHT, Event.MAY_HAVE_RUN, State.PENDING, Logic::enqueueIfRetryable),
-        new Transition(State.IN_FLIGHT, Event.CLOSED, State.DONE, Logic::cancelInFlight),
+        new Transition(State.IN_FLIGHT, Event.FINISHED, State.DONE, Logic::cancelInFlight),
         new Transition(State.HEDGED, Event.OK, State.DONE, Logic::cancelInFlight),
         new Transition(State.HEDGED, Event.NOT_RUN, State.IN_FLIGHT, (logic, rpc) -> {}),
         new Transition(State.HEDGED, Event.MAY_HAVE_RUN, State.IN_FLIGHT, (logic, rpc) -> {}),
-        new Transition(State.HEDGED, Event.CLOSED, State.DONE, Logic::cancelInFlight),
+        new Transition(State.HEDGED, Event.FINISHED, State.DONE, Logic::cancelInFlight),
     };
 
     private final Deployment deployment;
@@ -462,16 +462,16 @@
         now = time;
         host.probeInFlight = false;
         host.lastProbeAnswered = answered;
-        host.connectionRefused &= answered;
+        host.refusalUnexplained &= answered;
         if (!answered) {
-            host.failedTrials = Math.max(1, host.failedTrials);
+            host.unansweredTrials = Math.max(1, host.unansweredTrials);
             return;
         }
-        if (host.connectionRefused) {
+        if (host.refusalUnexplained) {
             // The host runs, but refused a connection; a host that was down would have failed the
             // probe. Guards against a host whose connections are all taken by idle ones of many
             // routers: each router closes its own. Cost: more handshakes.
-            host.connectionRefused = false;
+            host.refusalUnexplained = false;
             connectionsScarceUntil = now.plus(CONNECTION_SCARCITY_TIME);
             clearSuspicion(host);
         }
@@ -500,7 +500,7 @@
             Moment time,
             CallOut callOut,
             Outcome outcome,
-            boolean closed,
+            boolean finalAnswerGiven,
             Role role,
             Moment position,
             Span took) {
@@ -522,9 +522,9 @@
         } else if (outcome == Outcome.CONNECT_FAILED
                 && !host.lastUsefulAnswerAt.after(callOut.sentAt)) {
             // If the host has answered on another connection since, only this connection failed.
-            host.connectionRefused = took.shorterThan(IMMEDIATE_REFUSAL_TIME);
+            host.refusalUnexplained = took.shorterThan(IMMEDIATE_REFUSAL_TIME);
             markSuspect(host);
-            if (host.connectionRefused && healthProbeBudget.tryTake()) {
+            if (host.refusalUnexplained && healthProbeBudget.tryTake()) {
                 probe(host);
             }
         } else if (outcome == Outcome.TIMED_OUT) {
@@ -538,8 +538,8 @@
                 rpc,
                 outcome == Outcome.OK
                         ? Event.OK
-                        : closed
-                                ? Event.CLOSED
+                        : finalAnswerGiven
+                                ? Event.FINISHED
                                 : outcome.provesNotRun ? Event.NOT_RUN : Event.MAY_HAVE_RUN);
     }
 
@@ -579,7 +579,7 @@
         } else {
             errorRate -= SMOOTHING * errorRate;
             host.lastUsefulAnswerAt = now;
-            host.connectionRefused = false;
+            host.refusalUnexplained = false;
             host.consecutiveEjections = 0;
             host.consecutiveErrors = 0;
             if (host.suspect) {
@@ -821,7 +821,7 @@
     }
 
     private void markSuspect(Host host) {
-        host.failedTrials = host.suspect ? host.failedTrials + 1 : 0;
+        host.unansweredTrials = host.suspect ? host.unansweredTrials + 1 : 0;
         if (!host.suspect) {
             host.suspect = true;
             host.suspectSince = now;
@@ -841,12 +841,12 @@
         host.nextTrialAt =
                 now.plus(
                         TRIAL_INTERVAL.times(
-                                1 << Math.min(MAX_TRIAL_DOUBLINGS, host.failedTrials)));
+                                1 << Math.min(MAX_TRIAL_DOUBLINGS, host.unansweredTrials)));
     }
 
     private void clearSuspicion(Host host) {
         host.suspect = false;
-        host.failedTrials = 0;
+        host.unansweredTrials = 0;
     }
 
     /**
@@ -894,7 +894,7 @@
     @Override
     public void onClientLeft(Moment time, Rpc rpc) {
         now = time;
-        handle(rpc, Event.CLOSED);
+        handle(rpc, Event.FINISHED);
     }
 
     private void handle(Rpc rpc, Event event) {
@@ -922,10 +922,14 @@
             rpc.overQuota = rpc.clientRetry ? quota.isEmpty() : !quota.tryTake();
         }
         positionProbeBudget.refill(
-                Math.min(MAX_PROBES_PER_RPC, POSITION_PROBE_SPENDING / deployment.probeCost()),
+                Math.min(
+                        MAX_PROBES_PER_RPC,
+                        POSITION_PROBE_SPENDING_FRACTION / deployment.probeCost()),
                 PROBE_BURST);
         healthProbeBudget.refill(
-                Math.min(MAX_PROBES_PER_RPC, HEALTH_PROBE_SPENDING / deployment.probeCost()),
+                Math.min(
+                        MAX_PROBES_PER_RPC,
+                        HEALTH_PROBE_SPENDING_FRACTION / deployment.probeCost()),
                 PROBE_BURST);
         if (!rpc.group.used) {
             rpc.group.used = true;
@@ -1006,16 +1010,16 @@
                 method.softDeadline()
                         .minus(
                                 meanResponseTime.shorter(
-                                        method.softDeadline().times(MAX_RESPONSE_TIME_SHARE)));
+                                        method.softDeadline().times(MAX_RESPONSE_TIME_FRACTION)));
         Span maxUnsentWait =
                 rpc.deadline
                         .since(rpc.arrivedAt)
-                        .times(UNSENT_WAIT_SHARE)
+                        .times(UNSENT_WAIT_FRACTION)
                         .minus(CHECK_INTERVAL.times(2));
         Span waited = now.since(rpc.arrivedAt);
         boolean unsentTooLong = rpc.callOuts.isEmpty() && !waited.shorterThan(maxUnsentWait);
         boolean tooLate =
-                method.lateUtility() < MIN_LATE_UTILITY_SHARE * method.utility()
+                method.lateUtility() < MIN_LATE_UTILITY_FRACTION * method.utility()
                         && !waited.shorterThan(usefulWait);
         boolean shedOverQuota =
                 rpc.overQuota && waited.ratioTo(method.softDeadline()) > OVER_QUOTA_WAIT;
@@ -1105,7 +1109,7 @@
     private boolean primaryHasCapacityFor(Rpc rpc) {
         ConcurrencyLimit pool = rpc.group.primaryPool;
         double readLimit =
-                PRIMARY_READ_SHARE * Math.min(pool.limit, rpc.group.primary.concurrency.limit);
+                PRIMARY_READ_FRACTION * Math.min(pool.limit, rpc.group.primary.concurrency.limit);
         double latencyRatio =
                 pool.latencyRatio.value * decay(pool.latencyRatio, LATENCY_RATIO_DECAY);
         double highestUtilityRate = utilityRate(rpc.method);
@@ -1329,9 +1333,9 @@
         double share =
                 deployment.coldStartShare()
                         + (1 - deployment.coldStartShare()) * Math.min(1, warmth);
-        double warmRateSeconds =
-                deployment.coldRateMultiple() * share * window.us() / 1e6 * COLD_BUDGET_MARGIN;
-        double ownBudget = warmRateSeconds * warmRate(host.kind) * host.weight;
+        double warmSecondsPermitted =
+                deployment.coldRateMultiple() * share * window.us() / 1e6 * COLD_BUDGET_FRACTION;
+        double ownBudget = warmSecondsPermitted * warmRate(host.kind) * host.weight;
         double budget = Math.max(MIN_COLD_SENDS / deployment.routerCount(), ownBudget);
         if (budget >= 1) {
             return host.sends.countWithin(window, now) < (int) budget;
@@ -1385,7 +1389,7 @@
         }
         host.inFlight.add(callOut);
         if (host.suspect) {
-            host.failedTrials++;
+            host.unansweredTrials++;
             scheduleTrial(host);
         }
         host.sends.record(now);
--- a/router/src/main/java/ironwind/adapter/SimulatedRouter.java
+++ b/router/src/main/java/ironwind/adapter/SimulatedRouter.java
@@ -131,7 +131,7 @@
         }
         long note = line.getLong("note", 0);
         Span duration = new Span(line.getLong("lag_us", 0));
-        boolean finalAnswerSent = line.getBoolean("final");
+        boolean finalAnswerGiven = line.getBoolean("final");
         Rpc rpc = rpcs.get(id);
         if (rpc == null
                 || attempt < 0
@@ -156,7 +156,7 @@
                                 now,
                                 rpc.callOuts.get(attempt),
                                 outcome,
-                                finalAnswerSent,
+                                finalAnswerGiven,
                                 role,
                                 position,
                                 duration));
--- a/router/src/main/java/ironwind/config/DeploymentReader.java
+++ b/router/src/main/java/ironwind/config/DeploymentReader.java
@@ -22,7 +22,7 @@
                     Idempotency.TOKENED,
                     "fragile",
                     Idempotency.NON_IDEMPOTENT);
-    private static final Map<String, Consistency> READ_LEVELS =
+    private static final Map<String, Consistency> CONSISTENCIES =
             Map.of(
                     "update",
                     Consistency.WRITE,
@@ -34,7 +34,7 @@
                     Consistency.BOUNDED,
                     "loose",
                     Consistency.ANY);
-    private static final Map<String, StaleReadPolicy> HOST_CHECKS =
+    private static final Map<String, StaleReadPolicy> STALE_READ_POLICIES =
             Map.of(
                     "off",
                     StaleReadPolicy.SERVE,
@@ -52,7 +52,7 @@
      *     malformed
      */
     public static Deployment read(PropertySource settings) {
-        List<String> readLevels = settings.getList("extra.read_level");
+        List<String> consistencies = settings.getList("extra.read_level");
         List<String> lagBounds = settings.getList("extra.lag_allowed_us");
         List<Method> methods = new ArrayList<>();
         int count = settings.requireInt("lanes.count");
@@ -70,12 +70,12 @@
                                     prefix + "effect",
                                     EFFECTS,
                                     settings.requireString(prefix + "effect")),
-                            i < readLevels.size()
+                            i < consistencies.size()
                                     ? lookUp(
                                             settings,
                                             "extra.read_level",
-                                            READ_LEVELS,
-                                            readLevels.get(i))
+                                            CONSISTENCIES,
+                                            consistencies.get(i))
                                     : Consistency.ANY,
                             new Span(
                                     i < lagBounds.size()
@@ -95,15 +95,19 @@
         }
         String reportChannel = settings.getString("reporting.via");
         boolean reportsEnabled = reportChannel != null && !reportChannel.equals("off");
-        String hostChecks = settings.getString("extra.when_behind");
+        String staleReadPolicy = settings.getString("extra.when_behind");
         return new Deployment(
                 methods,
                 customers,
                 Math.max(1, settings.getInt("peers_total", 1)),
                 new Span(settings.getLong("period_us", 0)),
-                hostChecks == null
+                staleReadPolicy == null
                         ? StaleReadPolicy.SERVE
-                        : lookUp(settings, "extra.when_behind", HOST_CHECKS, hostChecks),
+                        : lookUp(
+                                settings,
+                                "extra.when_behind",
+                                STALE_READ_POLICIES,
+                                staleReadPolicy),
                 settings.getBoolean("caps.may_probe"),
                 reportsEnabled && settings.getList("reporting.fields").contains("x0"),
                 "router".equals(settings.getString("extra.token_mode")),
--- a/router/src/main/java/ironwind/idle/ReadScheduler.java
+++ b/router/src/main/java/ironwind/idle/ReadScheduler.java
@@ -19,7 +19,7 @@
     private int peakQueueSize;
     private long turnEndsAt;
     private long deferredReads;
-    private long lateReads;
+    private long overdueReads;
 
     /** Creates a scheduler with an empty queue. */
     public ReadScheduler(Limits limits, MemoryBudget budget) {
@@ -76,8 +76,8 @@
         if (now >= turnEndsAt || !hasEligible(now, openRpcs)) {
             return null;
         }
-        if (isFirstLate(now)) {
-            lateReads++;
+        if (isFirstOverdue(now)) {
+            overdueReads++;
         }
         return removeFirst();
     }
@@ -94,7 +94,7 @@
      * RPC has ended or the first connection has reached the maximum queue time.
      */
     public boolean hasEligible(long now, int openRpcs) {
-        return hasQueued() && (isBelowRpcThreshold(openRpcs) || isFirstLate(now));
+        return hasQueued() && (isBelowRpcThreshold(openRpcs) || isFirstOverdue(now));
     }
 
     /** Returns whether the connection is in the read queue. */
@@ -106,7 +106,7 @@
         return openRpcs < limits.openRpcThreshold();
     }
 
-    private boolean isFirstLate(long now) {
+    private boolean isFirstOverdue(long now) {
         return now - queue.first().queuedAt > limits.maxQueueTime().us();
     }
 
@@ -127,8 +127,8 @@
         return queueTime.longerThan(limits.maxQueueTime()) || !budget.hasRoomForNew(bytes);
     }
 
-    /** Records that the connection's data has been read, which resets its queue time to zero. */
-    public void markRead(TrackedConnection connection) {
+    /** Resets the connection's queue time to zero, after its data has been read. */
+    public void resetQueueTime(TrackedConnection connection) {
         connection.queuedAt = 0;
     }
 
@@ -153,7 +153,7 @@
     }
 
     /** Returns how many connections were read after more than the maximum queue time. */
-    public long lateReads() {
-        return lateReads;
+    public long overdueReads() {
+        return overdueReads;
     }
 }
--- a/router/src/main/java/ironwind/model/Host.java
+++ b/router/src/main/java/ironwind/model/Host.java
@@ -82,11 +82,8 @@
     /** Earliest time of the next trial of a suspect host. */
     public Moment nextTrialAt = Moment.NEVER;
 
-    /**
-     * Failed trials in a row, where a trial counts as failed until a useful answer; increases the
-     * time until the next one.
-     */
-    public int failedTrials;
+    /** Trials in a row without a useful answer so far; increases the time until the next one. */
+    public int unansweredTrials;
 
     /** Whether a probe is in flight. */
     public boolean probeInFlight;
@@ -101,10 +98,10 @@
     public boolean lastProbeAnswered;
 
     /**
-     * Whether it refused the connection of the last call-out immediately, and is to be probed for
-     * the cause.
+     * Whether it refused the connection of the last call-out immediately and the cause is unknown:
+     * neither a probe nor an answer has shown since whether the host runs.
      */
-    public boolean connectionRefused;
+    public boolean refusalUnexplained;
 
     /** Ejections since the last useful answer; each doubles the time of the next. */
     public int consecutiveEjections;
--- a/router/src/main/java/ironwind/model/Inbound.java
+++ b/router/src/main/java/ironwind/model/Inbound.java
@@ -29,8 +29,8 @@
     /**
      * A call-out has ended.
      *
-     * @param closed whether the RPC is finished: its final answer has been given, by this call-out
-     *     or earlier, or the client has left
+     * @param finalAnswerGiven whether the RPC is finished: its final answer has been given, by this
+     *     call-out or earlier, or the client has left
      * @param role role that the host reported with its answer
      * @param position log position that it reported; {@link Moment#NEVER} for none
      * @param took time from sending to the outcome
@@ -39,7 +39,7 @@
             Moment now,
             CallOut callOut,
             Outcome outcome,
-            boolean closed,
+            boolean finalAnswerGiven,
             Role role,
             Moment position,
             Span took);
--- a/router/src/main/java/ironwind/net/ClientConnection.java
+++ b/router/src/main/java/ironwind/net/ClientConnection.java
@@ -118,7 +118,7 @@
         } else {
             updateState();
         }
-        connections.markRead(this);
+        connections.resetQueueTime(this);
     }
 
     /**
--- a/router/src/main/java/ironwind/net/ClientConnections.java
+++ b/router/src/main/java/ironwind/net/ClientConnections.java
@@ -378,9 +378,9 @@
         }
     }
 
-    /** Records that the input of a connection has been processed. */
-    void markRead(ClientConnection client) {
-        readScheduler.markRead(client);
+    /** Resets a connection's queue time to zero, after its data has been read. */
+    void resetQueueTime(ClientConnection client) {
+        readScheduler.resetQueueTime(client);
     }
 
     // ---- memory
--- a/router/src/main/java/ironwind/net/Show.java
+++ b/router/src/main/java/ironwind/net/Show.java
@@ -89,7 +89,7 @@
         add(rows, "waiting_for_turn", readScheduler.queueSize());
         add(rows, "most_waiting_for_turn", readScheduler.peakQueueSize());
         add(rows, "turns_deferred", readScheduler.deferredReads());
-        add(rows, "turns_too_late", readScheduler.lateReads());
+        add(rows, "turns_too_late", readScheduler.overdueReads());
         add(rows, "paused_ms", monotonicTime.skipped().us() / 1_000);
         for (CloseReason reason : CloseReason.values()) {
             add(
--- a/router/src/test/java/ironwind/LogicFixture.java
+++ b/router/src/test/java/ironwind/LogicFixture.java
@@ -187,9 +187,15 @@
         CallOut callOut = rpc.callOuts.get(rpc.callOuts.size() - 1);
         Moment position =
                 positionAgeMs < 0 ? Moment.NEVER : now().minus(Span.ofMillis(positionAgeMs));
-        boolean closed = outcome == Outcome.OK || rpc.state == Rpc.State.DONE;
+        boolean finalAnswerGiven = outcome == Outcome.OK || rpc.state == Rpc.State.DONE;
         logic.onCallOutEnded(
-                now(), callOut, outcome, closed, role, position, now().since(callOut.sentAt));
+                now(),
+                callOut,
+                outcome,
+                finalAnswerGiven,
+                role,
+                position,
+                now().since(callOut.sentAt));
         logic.onBatchEnd(now());
         return this;
     }
--- a/router/src/test/java/ironwind/idle/ReadSchedulerTest.java
+++ b/router/src/test/java/ironwind/idle/ReadSchedulerTest.java
@@ -115,7 +115,7 @@
         Span queueTime = scheduler.queueTime(connection, 60_000);
         assertThat(queueTime).isEqualTo(new Span(58_500));
         assertThat(scheduler.shouldPushBack(queueTime, 10)).isTrue();
-        scheduler.markRead(connection);
+        scheduler.resetQueueTime(connection);
         assertThat(scheduler.shouldPushBack(scheduler.queueTime(connection, 90_000), 10)).isFalse();
         assertThat(scheduler.shouldPushBack(Span.ZERO, 751)).isTrue();
     }
