--- a/router/src/main/java/ironwind/config/RouterConfig.java
+++ b/router/src/main/java/ironwind/config/RouterConfig.java
@@ -99,7 +99,7 @@
      * methods' deadlines.
      */
     public Limits clientLimits() {
-        int clientDescriptors = maxClientConnections();
+        int clientDescriptors = clientDescriptors();
         int spare = Math.max(1, (int) (SPARE_CLIENT_SHARE * clientDescriptors));
         List<Span> deadlines =
                 deployment.methods().stream().map(Method::deadline).sorted().toList();
@@ -111,7 +111,7 @@
     }
 
     /** Returns the number of descriptors for connections to hosts. */
-    public int maxHostConnections() {
+    public int hostDescriptors() {
         return (int) (HOST_CONNECTION_SHARE * connectionDescriptors());
     }
 
@@ -119,8 +119,8 @@
      * Returns the number of descriptors for connections of clients, including those that are being
      * accepted or closed.
      */
-    public int maxClientConnections() {
-        return connectionDescriptors() - maxHostConnections();
+    public int clientDescriptors() {
+        return connectionDescriptors() - hostDescriptors();
     }
 
     private int connectionDescriptors() {
--- a/router/src/main/java/ironwind/idle/ConnectionManager.java
+++ b/router/src/main/java/ironwind/idle/ConnectionManager.java
@@ -19,7 +19,7 @@
     private static final ConnectionState[] EVICTION_ORDER = {
         ConnectionState.CLOSING,
         ConnectionState.STARTUP,
-        ConnectionState.UNUSED,
+        ConnectionState.AWAITING_FIRST_RPC,
         ConnectionState.IDLE
     };
 
@@ -134,10 +134,10 @@
         }
         connection.stateQueue.leave(connection);
         queue(state).enter(connection, now);
-        leaveCustomerIdle(connection);
+        removeFromCustomerIdleQueue(connection);
         if (connection.customerUsage != null && state == ConnectionState.IDLE) {
             connection.idleNode = new ConnectionQueue.Node(connection);
-            connection.customerUsage.idle.append(connection.idleNode);
+            connection.customerUsage.idleConnections.append(connection.idleNode);
         }
     }
 
@@ -166,18 +166,18 @@
             }
         }
         boolean overLimit = usage != null && usage.connections > limits.maxPerCustomer();
-        return overLimit ? usage.idle.first() : null;
+        return overLimit ? usage.idleConnections.first() : null;
     }
 
-    private void leaveCustomerIdle(TrackedConnection connection) {
+    private void removeFromCustomerIdleQueue(TrackedConnection connection) {
         if (connection.idleNode != null) {
-            connection.customerUsage.idle.remove(connection.idleNode);
+            connection.customerUsage.idleConnections.remove(connection.idleNode);
             connection.idleNode = null;
         }
     }
 
     private void leaveCustomer(TrackedConnection connection) {
-        leaveCustomerIdle(connection);
+        removeFromCustomerIdleQueue(connection);
         ConnectionUsage usage = connection.customerUsage;
         if (usage != null) {
             usage.connections--;
@@ -233,7 +233,7 @@
             case CLOSING -> CLOSE_GRACE;
             case STARTUP -> limits.startupTimeout();
             case RECEIVING -> limits.messageTimeout();
-            case UNUSED -> limits.firstRequestTimeout();
+            case AWAITING_FIRST_RPC -> limits.firstRequestTimeout();
             case IDLE ->
                     connectionCount > limits.crowdedFraction() * limits.maxConnections()
                             ? limits.crowdedIdleTimeout()
--- a/router/src/main/java/ironwind/idle/ConnectionState.java
+++ b/router/src/main/java/ironwind/idle/ConnectionState.java
@@ -10,7 +10,7 @@
     /** The start-up message has not arrived completely. */
     STARTUP("stranger"),
     /** Start-up is complete and no RPC has been answered. */
-    UNUSED("greeted"),
+    AWAITING_FIRST_RPC("greeted"),
     /** At least one RPC was answered and none is in progress. */
     IDLE("served"),
     /**
--- a/router/src/main/java/ironwind/idle/ConnectionUsage.java
+++ b/router/src/main/java/ironwind/idle/ConnectionUsage.java
@@ -6,7 +6,7 @@
     final Object key;
 
     /** Idle connections of a customer, longest idle first; empty for an address. */
-    final ConnectionQueue idle = new ConnectionQueue();
+    final ConnectionQueue idleConnections = new ConnectionQueue();
 
     int connections;
 
--- a/router/src/main/java/ironwind/idle/Limits.java
+++ b/router/src/main/java/ironwind/idle/Limits.java
@@ -68,7 +68,7 @@
         Span activeWindow,
         Span keepalive,
         long sendBufferBytes) {
-    private static final long BYTES_PER_MEGABYTE = 1 << 20;
+    private static final long BYTES_PER_MEBIBYTE = 1 << 20;
     private static final Span DEFAULT_TIMEOUT = Span.ofMillis(2_000);
 
     /**
@@ -123,7 +123,7 @@
      */
     public static Limits defaults(
             int connections, long memoryMb, Span shortestDeadline, Span longestDeadline) {
-        long bytes = memoryMb * BYTES_PER_MEGABYTE;
+        long bytes = memoryMb * BYTES_PER_MEBIBYTE;
         return new Limits(
                 connections,
                 0,
--- a/router/src/main/java/ironwind/idle/MemoryBudget.java
+++ b/router/src/main/java/ironwind/idle/MemoryBudget.java
@@ -11,7 +11,7 @@
          * Input from clients that is not processed yet: messages that have arrived in part, and
          * commands that wait while reading is paused.
          */
-        PARTIAL_REQUESTS("incoming"),
+        UNPROCESSED_INPUT("incoming"),
         /** Statements of RPCs that are not answered yet. */
         OPEN_RPCS("open"),
         /** Answers from hosts that have arrived in part. */
--- a/router/src/main/java/ironwind/idle/UnsentAnswers.java
+++ b/router/src/main/java/ironwind/idle/UnsentAnswers.java
@@ -26,7 +26,7 @@
     }
 
     /** Records that the connection's socket has accepted this many of the unsent bytes. */
-    public void drained(TrackedConnection connection, int bytes, long now) {
+    public void recordDrained(TrackedConnection connection, int bytes, long now) {
         if (bytes > 0) {
             budget.release(MemoryBudget.Use.UNSENT_ANSWERS, bytes);
             connection.unsentBytes -= bytes;
@@ -46,7 +46,7 @@
 
     /** Removes a closed connection and releases the memory of its unsent bytes. */
     public void remove(TrackedConnection connection) {
-        drained(connection, connection.unsentBytes, 0);
+        recordDrained(connection, connection.unsentBytes, 0);
     }
 
     /** Returns whether the connection has so many unsent bytes that it must not be read from. */
--- a/router/src/main/java/ironwind/model/SendLog.java
+++ b/router/src/main/java/ironwind/model/SendLog.java
@@ -3,13 +3,13 @@
 /** Ring buffer with the times of the latest 128 sends to a host. */
 public final class SendLog {
     private final Moment[] times = new Moment[128];
-    private int head;
+    private int nextIndex;
     private int count;
 
     /** Records a send; times must not decrease. */
     public void record(Moment time) {
-        times[head] = time;
-        head = (head + 1) % times.length;
+        times[nextIndex] = time;
+        nextIndex = (nextIndex + 1) % times.length;
         count = Math.min(times.length, count + 1);
     }
 
@@ -28,6 +28,6 @@
     }
 
     private Moment recent(int stepsBack) {
-        return times[(head - 1 - stepsBack + 2 * times.length) % times.length];
+        return times[(nextIndex - 1 - stepsBack + 2 * times.length) % times.length];
     }
 }
--- a/router/src/main/java/ironwind/net/ClientConnection.java
+++ b/router/src/main/java/ironwind/net/ClientConnection.java
@@ -225,7 +225,7 @@
 
     /** Counts and logs malformed input, and answers it with an error that the encoder encodes. */
     private void answerError(PgException e, Function<PgError, byte[]> encoder) {
-        connections.recordMalformed(e);
+        connections.recordInputError(e);
         addExchange(null, 0).answer(encoder.apply(new PgError(e.sqlState, e.getMessage(), null)));
     }
 
@@ -356,7 +356,7 @@
                                                 ? ConnectionState.RECEIVING
                                                 : hasAnsweredRpc
                                                         ? ConnectionState.IDLE
-                                                        : ConnectionState.UNUSED;
+                                                        : ConnectionState.AWAITING_FIRST_RPC;
         if (restart || newState != state()) {
             connections.setState(this, newState);
         }
--- a/router/src/main/java/ironwind/net/ClientConnections.java
+++ b/router/src/main/java/ironwind/net/ClientConnections.java
@@ -394,10 +394,10 @@
      */
     boolean reserve(int bytes, boolean force) {
         if (force || bytes <= 0) {
-            budget.forceReserve(Use.PARTIAL_REQUESTS, bytes);
+            budget.forceReserve(Use.UNPROCESSED_INPUT, bytes);
             return true;
         }
-        boolean reserved = budget.tryReserve(Use.PARTIAL_REQUESTS, bytes);
+        boolean reserved = budget.tryReserve(Use.UNPROCESSED_INPUT, bytes);
         if (!reserved) {
             connectionManager.recordClose(CloseReason.NO_MEMORY);
         }
@@ -415,7 +415,7 @@
 
     /** Records that the socket of a connection accepted this many of the unsent bytes. */
     void recordDrained(ClientConnection client, int bytes) {
-        unsentAnswers.drained(client, bytes, now());
+        unsentAnswers.recordDrained(client, bytes, now());
     }
 
     /** Returns whether so many bytes are unsent that the connection must not be read from. */
@@ -455,7 +455,7 @@
     }
 
     /** Counts and logs input of a client that is malformed, too slow or finds no memory. */
-    void recordMalformed(PgException e) {
+    void recordInputError(PgException e) {
         counters.add(Count.MALFORMED);
         log.warn("client_malformed", "code", e.sqlState, "what", e.getMessage());
     }
--- a/router/src/main/java/ironwind/net/HostConnection.java
+++ b/router/src/main/java/ironwind/net/HostConnection.java
@@ -173,7 +173,7 @@
             reserveMemory();
             if (!closed && decoder.hasBufferedBytes() && !messageTimeoutScheduled) {
                 messageTimeoutScheduled = true;
-                pool.scheduleAfterConnectTimeout(
+                pool.scheduleTimeout(
                         () -> {
                             messageTimeoutScheduled = false;
                             onMessageTimeout();
--- a/router/src/main/java/ironwind/net/HostConnectionPool.java
+++ b/router/src/main/java/ironwind/net/HostConnectionPool.java
@@ -35,7 +35,7 @@
     /** Fraction of the router's memory that one message of a host may take. */
     private static final double MAX_MESSAGE_FRACTION = 1.0 / 64;
 
-    private static final int MEBIBYTE = 1 << 20;
+    private static final int BYTES_PER_MEBIBYTE = 1 << 20;
 
     /**
      * How long a connection must have been idle before it is used again: by then, unsolicited data
@@ -94,7 +94,8 @@
         this.idleTimeout = config.hostIdleTimeout().times(IDLE_TIMEOUT_FRACTION);
         this.budget = budget;
         this.maxSockets = maxSockets;
-        this.maxMessageBytes = (int) (MAX_MESSAGE_FRACTION * config.memoryMb() * MEBIBYTE);
+        this.maxMessageBytes =
+                (int) (MAX_MESSAGE_FRACTION * config.memoryMb() * BYTES_PER_MEBIBYTE);
         this.counters = counters;
         this.log = log;
         scheduleIdleSweep();
@@ -119,11 +120,11 @@
         }
     }
 
-    /** Removes the addresses and idle connections of the hosts whose ids match. */
-    void removeHosts(Predicate<String> hostIds) {
-        addresses.keySet().removeIf(hostIds);
-        idleConnections.keySet().stream().filter(hostIds).toList().forEach(this::closeIdle);
-        idleConnections.keySet().removeIf(hostIds);
+    /** Removes the addresses and idle connections of the hosts whose ids satisfy the predicate. */
+    void removeHosts(Predicate<String> isRemoved) {
+        addresses.keySet().removeIf(isRemoved);
+        idleConnections.keySet().stream().filter(isRemoved).toList().forEach(this::closeIdle);
+        idleConnections.keySet().removeIf(isRemoved);
     }
 
     /**
@@ -168,7 +169,7 @@
         }
         openConnections.add(connection);
         counters.add(Count.HOST_CONNECTIONS);
-        scheduleAfterConnectTimeout(() -> connection.failConnect(Ending.NOT_ESTABLISHED));
+        scheduleTimeout(() -> connection.failConnect(Ending.NOT_ESTABLISHED));
         openSockets++;
         return connection;
     }
@@ -283,7 +284,7 @@
     }
 
     /** Runs an action after the connect timeout, within which a live host accepts a connection. */
-    void scheduleAfterConnectTimeout(Runnable action) {
+    void scheduleTimeout(Runnable action) {
         timers.schedule(connectTimeout, action);
     }
 
--- a/router/src/main/java/ironwind/net/LogicTask.java
+++ b/router/src/main/java/ironwind/net/LogicTask.java
@@ -54,11 +54,11 @@
     private final Log log;
     private final Queue<Event> events = new ConcurrentLinkedQueue<>();
     private final AtomicBoolean batchScheduled = new AtomicBoolean();
-    private final Map<Rpc, Exchange> exchanges = new HashMap<>();
+    private final Map<Rpc, Exchange> exchangesByRpc = new HashMap<>();
     private final Map<CallOut, CallOutRequest> callOutRequests = new HashMap<>();
 
     /** RPCs without a final answer, by id. */
-    private final Map<String, Exchange> openById = new HashMap<>();
+    private final Map<String, Exchange> openExchangesById = new HashMap<>();
 
     /** Upper limit of all deadlines. */
     private Moment latestDeadline = FAR_FUTURE;
@@ -73,7 +73,7 @@
      */
     void capDeadlines(Span fromNow) {
         latestDeadline = Clock.read().plus(fromNow);
-        for (Exchange exchange : List.copyOf(openById.values())) {
+        for (Exchange exchange : List.copyOf(openExchangesById.values())) {
             if (exchange.rpc != null && exchange.rpc.deadline.after(latestDeadline)) {
                 exchange.rpc.deadline = latestDeadline;
                 scheduleAnswerCheck(exchange);
@@ -97,7 +97,7 @@
      * @param timeout time until the client's deadline, from when the client wrote the request
      * @param afterMs log position that a session read must see, in Unix milliseconds; zero for none
      * @param retry whether the client marked it as a retry
-     * @param queueTime how long the request had been in its socket before it was read
+     * @param inputDelay how long the request had been in its socket before it was read
      * @param rejectOnArrival whether there is no memory or time left to hold it
      */
     record RpcRequest(
@@ -109,7 +109,7 @@
             Span timeout,
             long afterMs,
             boolean retry,
-            Span queueTime,
+            Span inputDelay,
             boolean rejectOnArrival) {}
 
     /**
@@ -178,7 +178,7 @@
 
     /** Returns the number of RPCs that have no final answer yet. */
     int openRpcCount() {
-        return openById.size();
+        return openExchangesById.size();
     }
 
     /**
@@ -186,7 +186,7 @@
      * reached.
      */
     void logUnanswered() {
-        for (Exchange exchange : openById.values()) {
+        for (Exchange exchange : openExchangesById.values()) {
             List<String> hosts =
                     exchange.rpc == null
                             ? List.of()
@@ -233,7 +233,7 @@
      * @throws PgException if its id is that of an open RPC, or its group is in no discovery update
      */
     void validate(RpcRequest request) {
-        if (openById.containsKey(request.id)) {
+        if (openExchangesById.containsKey(request.id)) {
             throw new PgException(
                     PgException.SYNTAX_ERROR, "the comment's id belongs to another open request");
         }
@@ -245,7 +245,7 @@
     /** A valid RPC has arrived; it is answered through its exchange. */
     void onRpcArrived(Exchange exchange, RpcRequest request) {
         counters.add(Count.RPCS);
-        openById.put(request.id, exchange);
+        openExchangesById.put(request.id, exchange);
         enqueue(
                 exchange,
                 time -> {
@@ -258,7 +258,7 @@
                                     request.session,
                                     time,
                                     time.plus(request.timeout)
-                                            .minus(request.queueTime)
+                                            .minus(request.inputDelay)
                                             .earlier(latestDeadline),
                                     request.afterMs <= 0
                                             ? Moment.NEVER
@@ -266,7 +266,7 @@
                                     request.retry);
                     rpc.rejectOnArrival = request.rejectOnArrival;
                     exchange.rpc = rpc;
-                    exchanges.put(rpc, exchange);
+                    exchangesByRpc.put(rpc, exchange);
                     scheduleAnswerCheck(exchange);
                     logic.onRpcArrived(time, rpc);
                 });
@@ -308,7 +308,7 @@
                     if (exchange.rpc != null && exchange.rpc.state != Rpc.State.DONE) {
                         counters.add(Count.ABANDONED);
                         logic.onClientLeft(time, exchange.rpc);
-                        forgetIfDone(exchange.rpc);
+                        removeIfDone(exchange.rpc);
                     }
                 });
     }
@@ -365,7 +365,7 @@
                 role,
                 position,
                 time.since(callOut.sentAt));
-        forgetIfDone(rpc);
+        removeIfDone(rpc);
     }
 
     // ---- actions of the logic
@@ -377,7 +377,7 @@
                 timeout.us() > 0
                         ? callOut.rpc.deadline.earlier(now.plus(timeout))
                         : callOut.rpc.deadline;
-        CallOutRequest request = new CallOutRequest(this, callOut, exchanges.get(callOut.rpc));
+        CallOutRequest request = new CallOutRequest(this, callOut, exchangesByRpc.get(callOut.rpc));
         callOutRequests.put(callOut, request);
         request.start(
                 pool,
@@ -411,8 +411,8 @@
     }
 
     private void answer(Rpc rpc, Count count, PgError error) {
-        answer(exchanges.get(rpc), count, Encoder.errorAndReady(error));
-        forgetIfDone(rpc);
+        answer(exchangesByRpc.get(rpc), count, Encoder.errorAndReady(error));
+        removeIfDone(rpc);
     }
 
     /** Sends an RPC's final answer, if it has none yet. Every final answer goes through here. */
@@ -424,12 +424,12 @@
     }
 
     private void releaseId(Exchange exchange) {
-        openById.remove(exchange.statement.attributes().get("id"), exchange);
+        openExchangesById.remove(exchange.statement.attributes().get("id"), exchange);
     }
 
-    private void forgetIfDone(Rpc rpc) {
+    private void removeIfDone(Rpc rpc) {
         if (rpc.state == Rpc.State.DONE && rpc.inFlight == 0) {
-            exchanges.remove(rpc);
+            exchangesByRpc.remove(rpc);
         }
     }
 
--- a/router/src/main/java/ironwind/net/Router.java
+++ b/router/src/main/java/ironwind/net/Router.java
@@ -49,7 +49,7 @@
 
     private final RouterConfig config;
     private final Log log;
-    private final Function<Outbound, Inbound> module;
+    private final Function<Outbound, Inbound> logicFactory;
     private final Counters counters = new Counters();
     private final Limits limits;
     private final Vertx vertx;
@@ -75,20 +75,20 @@
     }
 
     /** Creates a router with the default settings and other decision logic. */
-    Router(RouterConfig config, Log log, Function<Outbound, Inbound> module) {
-        this(config, OperatorSettings.defaults(config), log, module);
+    Router(RouterConfig config, Log log, Function<Outbound, Inbound> logicFactory) {
+        this(config, OperatorSettings.defaults(config), log, logicFactory);
     }
 
     /**
      * Creates a router with the operator's settings and other decision logic.
      *
-     * @param module creates the decision logic, which is {@link Logic} otherwise
+     * @param logicFactory creates the decision logic, which is {@link Logic} otherwise
      */
     Router(
             RouterConfig config,
             OperatorSettings settings,
             Log log,
-            Function<Outbound, Inbound> module) {
+            Function<Outbound, Inbound> logicFactory) {
         this.config = config;
         // A limit above the number of descriptors would never be reached, and so no idle connection
         // would be evicted for a new one.
@@ -102,7 +102,7 @@
                     "most",
                     maxConnections);
         }
-        this.module = module;
+        this.logicFactory = logicFactory;
         this.log = log;
         this.vertx =
                 Vertx.vertx(
@@ -138,11 +138,12 @@
                                     buffers,
                                     config,
                                     budget,
-                                    config.maxHostConnections(),
+                                    config.hostDescriptors(),
                                     counters,
                                     log);
                     logicTask =
-                            new LogicTask(timers, config, module, hostConnections, counters, log);
+                            new LogicTask(
+                                    timers, config, logicFactory, hostConnections, counters, log);
                     discovery =
                             new Discovery(vertx, config, logicTask, hostConnections, counters, log);
                     clientConnections =
@@ -153,7 +154,7 @@
                                     config,
                                     limits,
                                     budget,
-                                    config.maxClientConnections(),
+                                    config.clientDescriptors(),
                                     logicTask,
                                     counters,
                                     log);
@@ -194,14 +195,14 @@
             return;
         }
         if (warmupEnabled) {
-            int maxSockets = Math.max(1, config.maxClientConnections() / 4);
+            int maxSockets = Math.max(1, config.clientDescriptors() / 4);
             clientConnections.warmUp(
                     new Warmup(
                             loop(),
                             timers,
                             buffers,
                             config,
-                            module,
+                            logicFactory,
                             maxSockets,
                             rpcs -> {
                                 log.info("rehearsed", "rpcs", rpcs);
--- a/router/src/main/java/ironwind/net/Warmup.java
+++ b/router/src/main/java/ironwind/net/Warmup.java
@@ -65,7 +65,7 @@
     /**
      * Creates a warm-up and starts its timeout.
      *
-     * @param module creates the decision logic
+     * @param logicFactory creates the decision logic
      * @param maxSockets most connections that the warm-up may open
      * @param onDone receives the number of RPCs that were started
      */
@@ -74,7 +74,7 @@
             Timers timers,
             LoopSocket.Buffers buffers,
             RouterConfig config,
-            Function<Outbound, Inbound> module,
+            Function<Outbound, Inbound> logicFactory,
             int maxSockets,
             IntConsumer onDone) {
         this.timers = timers;
@@ -93,7 +93,8 @@
                         Math.min(MAX_SOCKETS, maxSockets),
                         counters,
                         log);
-        this.logicTask = new LogicTask(timers, this.config, module, hostConnections, counters, log);
+        this.logicTask =
+                new LogicTask(timers, this.config, logicFactory, hostConnections, counters, log);
         timers.schedule(TIMEOUT, this::finish);
     }
 
--- a/router/src/test/java/ironwind/idle/ConnectionManagerTest.java
+++ b/router/src/test/java/ironwind/idle/ConnectionManagerTest.java
@@ -212,7 +212,7 @@
                                                 case CLOSING -> 300_000;
                                                 case STARTUP -> 20_000;
                                                 case RECEIVING -> 30_000;
-                                                case UNUSED -> 40_000;
+                                                case AWAITING_FIRST_RPC -> 40_000;
                                                 case IDLE ->
                                                         open.size() > MAX_CONNECTIONS / 2
                                                                 ? 50_000
--- a/router/src/test/java/ironwind/idle/ReadSchedulerTest.java
+++ b/router/src/test/java/ironwind/idle/ReadSchedulerTest.java
@@ -23,7 +23,6 @@
     private final MemoryBudget budget = new MemoryBudget(LIMITS.memoryBytes());
     private final ConnectionManager manager = new ConnectionManager(LIMITS);
     private final ReadScheduler scheduler = new ReadScheduler(LIMITS, budget);
-    private final UnsentAnswers unsent = new UnsentAnswers(LIMITS, budget);
 
     private TrackedConnection connection(ConnectionState state, long lastAnsweredAt) {
         TrackedConnection connection = new ConnectionManagerTest.TestConnection();
@@ -152,7 +151,7 @@
                 client.bytes[0] += bytes;
             } else {
                 int drained = (int) Math.min(bytes, client.bytes[0]);
-                unsentAnswers.drained(client.connection, drained, now);
+                unsentAnswers.recordDrained(client.connection, drained, now);
                 client.bytes[0] -= drained;
                 if (drained > 0) {
                     queue.remove(client);
@@ -182,12 +181,12 @@
 
     @Test
     void budgetReservesNoMoreThanItsLimit() {
-        assertThat(budget.tryReserve(Use.PARTIAL_REQUESTS, 700)).isTrue();
+        assertThat(budget.tryReserve(Use.UNPROCESSED_INPUT, 700)).isTrue();
         assertThat(budget.tryReserve(Use.PARTIAL_ANSWERS, 301)).isFalse();
         assertThat(budget.tryReserve(Use.PARTIAL_ANSWERS, 300)).isTrue();
         budget.forceReserve(Use.UNSENT_ANSWERS, 50);
         assertThat(budget.totalReserved()).isEqualTo(1_050);
-        assertThat(budget.tryReserve(Use.PARTIAL_REQUESTS, -700)).isTrue();
+        assertThat(budget.tryReserve(Use.UNPROCESSED_INPUT, -700)).isTrue();
         assertThat(budget.refusedCount(Use.PARTIAL_ANSWERS)).isEqualTo(1);
         assertThat(budget.peakReserved()).isEqualTo(1_050);
         assertThatThrownBy(() -> budget.release(Use.PARTIAL_ANSWERS, 301))
--- a/router/src/test/java/ironwind/net/RouterTest.java
+++ b/router/src/test/java/ironwind/net/RouterTest.java
@@ -689,13 +689,13 @@
     }
 
     /**
-     * Guards against an RPC that stays unanswered because of a defect in the decision module: it is
+     * Guards against an RPC that stays unanswered because of a defect in the decision logic: it is
      * aborted, and the fault is logged once with its location.
      */
-    @ParameterizedTest(name = "a module that {0}")
+    @ParameterizedTest(name = "logic that {0}")
     @CsvSource({"throws, UnsupportedOperationException", "never responds, IllegalStateException"})
-    void moduleDefectAbortsTheRpcAndIsLogged(String defect, String expectedLog) throws Exception {
-        InvocationHandler module =
+    void logicDefectAbortsTheRpcAndIsLogged(String defect, String expectedLog) throws Exception {
+        InvocationHandler logic =
                 (proxy, method, arguments) -> {
                     if (method.getName().equals("onRpcArrived") && defect.equals("throws")) {
                         throw new UnsupportedOperationException();
@@ -711,7 +711,7 @@
                                         Proxy.newProxyInstance(
                                                 getClass().getClassLoader(),
                                                 new Class<?>[] {Inbound.class},
-                                                module)));
+                                                logic)));
         PgConnection client = publishHostsAndConnect();
         client.send(request(READ_TEMPLATE, 100), Encoder.query(""));
         assertThat(client.readResponse()).isEqualTo("E40003");
