--- a/router/src/main/java/ironwind/adapter/Adapter.java
+++ b/router/src/main/java/ironwind/adapter/Adapter.java
@@ -85,7 +85,7 @@
             handle(now, line);
         }
         for (SimulatedRouter router : batchRouters) {
-            router.settle(now);
+            router.onBatchEnd(now);
         }
         batchRouters.clear();
         reply.append("NEXT\n");
--- a/router/src/main/java/ironwind/adapter/Line.java
+++ b/router/src/main/java/ironwind/adapter/Line.java
@@ -4,28 +4,28 @@
 import java.util.Base64;
 
 /**
- * One line of the simulator's protocol: a name and tab-separated key=value fields. Fields are
- * looked up by scanning the text, without regular expressions.
+ * One line of the simulator's protocol: a message name and tab-separated key=value fields. Fields
+ * are looked up by scanning the text, without regular expressions.
  */
 final class Line implements PropertySource {
     private final String text;
-    private final long number;
-    private final String name;
+    private final long lineNumber;
+    private final String messageName;
 
-    Line(String text, long number) {
+    Line(String text, long lineNumber) {
         this.text = text;
-        this.number = number;
+        this.lineNumber = lineNumber;
         int tab = text.indexOf('\t');
-        this.name = tab < 0 ? text : text.substring(0, tab);
+        this.messageName = tab < 0 ? text : text.substring(0, tab);
     }
 
     String name() {
-        return name;
+        return messageName;
     }
 
     @Override
     public String getString(String key) {
-        int from = name.length();
+        int from = messageName.length();
         int length = key.length();
         while (from >= 0 && from < text.length()) {
             int start = from + 1;
@@ -77,6 +77,6 @@
 
     @Override
     public MalformedLineException error(String key, String problem) {
-        return new MalformedLineException(number, name, key, problem);
+        return new MalformedLineException(lineNumber, messageName, key, problem);
     }
 }
--- a/router/src/main/java/ironwind/adapter/MalformedLineException.java
+++ b/router/src/main/java/ironwind/adapter/MalformedLineException.java
@@ -4,11 +4,11 @@
 final class MalformedLineException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
-    MalformedLineException(long lineNumber, String lineName, String field, String problem) {
+    MalformedLineException(long lineNumber, String messageName, String field, String problem) {
         super(
                 "line "
                         + lineNumber
-                        + (lineName.isEmpty() ? "" : " (" + lineName + ")")
+                        + (messageName.isEmpty() ? "" : " (" + messageName + ")")
                         + ": field '"
                         + field
                         + "' "
--- a/router/src/main/java/ironwind/adapter/SimulatedRouter.java
+++ b/router/src/main/java/ironwind/adapter/SimulatedRouter.java
@@ -195,7 +195,7 @@
         }
     }
 
-    void settle(Moment now) {
+    void onBatchEnd(Moment now) {
         runLogic(() -> logic.onBatchEnd(now));
     }
 
@@ -239,14 +239,14 @@
     }
 
     @Override
-    public void send(CallOut callOut, Span limit) {
+    public void send(CallOut callOut, Span timeout) {
         startLine("HAND_OFF")
                 .append("\ttxn=")
                 .append(callOut.rpc.id)
                 .append("\thost=")
                 .append(callOut.host.id);
-        if (limit.us() > 0) {
-            output.append("\tlimit_us=").append(limit.us());
+        if (timeout.us() > 0) {
+            output.append("\tlimit_us=").append(timeout.us());
         }
         output.append('\n');
     }
@@ -262,10 +262,10 @@
     }
 
     @Override
-    public void pushBack(Rpc rpc, Span backoff) {
+    public void pushBack(Rpc rpc, Span retryAfter) {
         startLine("DECLINE").append("\ttxn=").append(rpc.id);
-        if (backoff.us() > 0) {
-            output.append("\tbackoff_us=").append(backoff.us());
+        if (retryAfter.us() > 0) {
+            output.append("\tbackoff_us=").append(retryAfter.us());
         }
         output.append('\n');
         removeIfDone(rpc);
