--- a/lab/src/main/java/ironwind/lab/AsyncClient.java
+++ b/lab/src/main/java/ironwind/lab/AsyncClient.java
@@ -92,7 +92,7 @@
         rowReceived = false;
         error = null;
         connection.write(
-                Encoder.query(
+                Encoder.queryMessage(
                         "/* id="
                                 + id
                                 + ",c=read,d="
@@ -114,7 +114,7 @@
     @Override
     public void opened(Connection opened) {
         connection = opened;
-        connection.write(Encoder.startup("client", "core"));
+        connection.write(Encoder.startupMessage("client", "core"));
     }
 
     @Override
--- a/lab/src/main/java/ironwind/lab/RouterProcess.java
+++ b/lab/src/main/java/ironwind/lab/RouterProcess.java
@@ -129,8 +129,8 @@
         while (System.currentTimeMillis() < deadline && process.isAlive()) {
             try (Socket socket = new Socket(address.getAddress(), address.getPort())) {
                 socket.setSoTimeout((int) READY_TIMEOUT_MS);
-                socket.getOutputStream().write(Encoder.startup("client", "core"));
-                socket.getOutputStream().write(Encoder.query(""));
+                socket.getOutputStream().write(Encoder.startupMessage("client", "core"));
+                socket.getOutputStream().write(Encoder.queryMessage(""));
                 byte[] bytes = new byte[1_024];
                 String response = "";
                 while (!response.contains("I")) {
--- a/lab/src/test/java/ironwind/lab/BlockingClient.java
+++ b/lab/src/test/java/ironwind/lab/BlockingClient.java
@@ -36,7 +36,7 @@
 
     /** Sends the startup message and returns the response, as {@link #readResponse} does. */
     String startUp() throws IOException {
-        send(Encoder.startup("client", "core"));
+        send(Encoder.startupMessage("client", "core"));
         return readResponse();
     }
 
@@ -48,7 +48,7 @@
 
     void sendRead(String id, String method, String customer, String key) throws IOException {
         send(
-                Encoder.query(
+                Encoder.queryMessage(
                         "/* id="
                                 + id
                                 + ",c="
@@ -69,7 +69,7 @@
     }
 
     Map<String, String> show(String table) throws IOException {
-        send(Encoder.query("SHOW " + table));
+        send(Encoder.queryMessage("SHOW " + table));
         readResponse();
         return rows;
     }
--- a/lab/src/test/java/ironwind/lab/IdleRouterTest.java
+++ b/lab/src/test/java/ironwind/lab/IdleRouterTest.java
@@ -112,7 +112,7 @@
         router.start().await(10, TimeUnit.SECONDS);
         BlockingClient first = connect();
         first.startUp();
-        first.send(Encoder.query(""));
+        first.send(Encoder.queryMessage(""));
         assertThat(first.readResponse()).isEqualTo("ready");
         first.close();
     }
@@ -136,7 +136,7 @@
     }
 
     private static byte[] write(String id) {
-        return Encoder.query(
+        return Encoder.queryMessage(
                 "/* id="
                         + id
                         + ",c=write,d=4000,cluster=0,t=one */ INSERT INTO state (uid) VALUES ('k')");
@@ -365,7 +365,7 @@
                         + "message_time = \"20s\"");
         BlockingClient other = servedClient();
         List<BlockingClient> partial = new ArrayList<>();
-        byte[] head = Arrays.copyOf(Encoder.query("x".repeat(130_000)), 60_000);
+        byte[] head = Arrays.copyOf(Encoder.queryMessage("x".repeat(130_000)), 60_000);
         int refused = 0;
         for (int i = 0; i < 6; i++) {
             BlockingClient client = connect();
@@ -462,7 +462,7 @@
         startRouter("startup_time = \"200ms\"\nmessage_time = \"200ms\"\ngreeted_time = \"200ms\"");
         BlockingClient served = servedClient();
         BlockingClient slow = connect();
-        byte[] startupMessage = Encoder.startup("client", "core");
+        byte[] startupMessage = Encoder.startupMessage("client", "core");
         slow.send(Arrays.copyOf(startupMessage, Math.min(startupBytes, startupMessage.length)));
         if (startupBytes > startupMessage.length) {
             assertThat(slow.readResponse()).isEqualTo("ready");
--- a/router/src/main/java/ironwind/net/CallOutRequest.java
+++ b/router/src/main/java/ironwind/net/CallOutRequest.java
@@ -8,21 +8,21 @@
 final class CallOutRequest implements HostConnection.Request {
     final CallOut callOut;
     final Exchange exchange;
-    private final LogicTask task;
+    private final LogicTask logicTask;
     private HostConnection connection;
     private Timers.Timer timeout;
     private boolean ended;
 
     /** Creates a request that has not been started. */
-    CallOutRequest(LogicTask task, CallOut callOut, Exchange exchange) {
-        this.task = task;
+    CallOutRequest(LogicTask logicTask, CallOut callOut, Exchange exchange) {
+        this.logicTask = logicTask;
         this.callOut = callOut;
         this.exchange = exchange;
     }
 
     /**
      * Writes the request at once if a connection is idle. Otherwise opens one, and {@link
-     * LogicTask#onConnected} writes or skips the request once it is established.
+     * LogicTask#onConnected} writes or gives up the request once it is established.
      */
     void start(HostConnectionPool pool, Moment now, Timers.Timer timeoutTimer) {
         timeout = timeoutTimer;
@@ -41,18 +41,19 @@
 
     @Override
     public void onConnected() {
-        task.onConnected(this);
+        logicTask.onConnected(this);
     }
 
     /** Writes the request with the time that is left until the client's deadline, at least 1 ms. */
     void write(Moment now) {
         long timeLeftMs = callOut.rpc.deadline.since(now).us() / 1_000;
-        connection.write(Encoder.query(exchange.statement.withTimeLeft(Math.max(1, timeLeftMs))));
+        connection.write(
+                Encoder.queryMessage(exchange.statement.withTimeLeft(Math.max(1, timeLeftMs))));
     }
 
     /** Gives up the request before it is written, and returns its connection to the pool. */
-    void skip() {
-        connection.releaseUnused();
+    void releaseUnsent() {
+        connection.releaseUnsent();
         onEnded(Ending.NOT_SENT, null);
     }
 
@@ -72,6 +73,6 @@
     public void onEnded(Ending ending, HostAnswer answer) {
         ended = true;
         timeout.cancel();
-        task.onCallOutEnded(this, ending, answer);
+        logicTask.onCallOutEnded(this, ending, answer);
     }
 }
--- a/router/src/main/java/ironwind/net/ClientConnection.java
+++ b/router/src/main/java/ironwind/net/ClientConnection.java
@@ -140,7 +140,7 @@
             }
             updateReservation();
         } catch (PgException e) {
-            fail(e);
+            closeForError(e);
         } finally {
             processing = false;
         }
@@ -185,7 +185,7 @@
             frameDecoder.startupDone();
             write(Encoder.startupResponse());
         } else if (message instanceof ClientMessage.EncryptionRequest) {
-            write(Encoder.encryptionRejected());
+            write(Encoder.encryptionRejectedResponse());
         } else if (message instanceof ClientMessage.ExtendedQuery) {
             if (!skippingToSync) {
                 skippingToSync = true;
@@ -193,7 +193,7 @@
                         new PgException(
                                 PgException.FEATURE_NOT_SUPPORTED,
                                 "the extended query protocol is not supported"),
-                        Encoder::error);
+                        Encoder::errorResponse);
             }
         } else if (message instanceof ClientMessage.Sync) {
             skippingToSync = false;
@@ -217,7 +217,7 @@
         try {
             connections.execute(this, sql);
         } catch (PgException e) {
-            answerError(e, Encoder::errorAndReady);
+            answerError(e, Encoder::errorResponseAndReady);
         }
     }
 
@@ -230,8 +230,8 @@
     }
 
     /** Ends the connection with a fatal error, after the answers to the commands before it. */
-    void fail(PgException e) {
-        closeWith(() -> answerError(e, Encoder::fatalError));
+    void closeForError(PgException e) {
+        closeWithError(() -> answerError(e, Encoder::fatalErrorResponse));
     }
 
     /**
@@ -239,13 +239,13 @@
      *
      * @param retryAfter time after which the client may try again; zero leaves it out of the error
      */
-    void reject(CloseReason reason, Span retryAfter) {
+    void closeForLimit(CloseReason reason, Span retryAfter) {
         PgError error =
                 new PgError(reason.sqlState, reason.message, Timers.formatRetryAfter(retryAfter));
-        closeWith(() -> addExchange(null, 0).answer(Encoder.fatalError(error)));
+        closeWithError(() -> addExchange(null, 0).answer(Encoder.fatalErrorResponse(error)));
     }
 
-    private void closeWith(Runnable writeError) {
+    private void closeWithError(Runnable writeError) {
         if (!closed && pendingEnding != Ending.CLIENT_FATAL_ERROR) {
             pendingEnding = Ending.CLIENT_FATAL_ERROR;
             discardInput();
--- a/router/src/main/java/ironwind/net/ClientConnections.java
+++ b/router/src/main/java/ironwind/net/ClientConnections.java
@@ -240,7 +240,7 @@
                     address,
                     "open",
                     connectionManager.connectionCount());
-            client.reject(refusal, config.deployment().maxRetryAfter());
+            client.closeForLimit(refusal, config.deployment().maxRetryAfter());
         } else if (draining) {
             client.drain();
         }
@@ -305,7 +305,7 @@
                 client.closeNow();
             } else if (reason == CloseReason.TOO_SLOW) {
                 connectionManager.recordClose(reason);
-                client.fail(new PgException(reason.sqlState, reason.message));
+                client.closeForError(new PgException(reason.sqlState, reason.message));
             } else {
                 evict(due, reason);
             }
--- a/router/src/main/java/ironwind/net/Discovery.java
+++ b/router/src/main/java/ironwind/net/Discovery.java
@@ -46,7 +46,7 @@
     private HttpClientAgent client;
     private Address address;
     private final NameIndex names;
-    private final LogicTask logic;
+    private final LogicTask logicTask;
     private final HostConnectionPool pool;
     private final Counters counters;
     private final Log log;
@@ -59,14 +59,14 @@
     Discovery(
             Vertx vertx,
             RouterConfig config,
-            LogicTask logic,
+            LogicTask logicTask,
             HostConnectionPool pool,
             Counters counters,
             Log log) {
         this.vertx = vertx;
         this.address = config.discovery();
         this.names = config.names();
-        this.logic = logic;
+        this.logicTask = logicTask;
         this.pool = pool;
         this.counters = counters;
         this.log = log;
@@ -181,7 +181,7 @@
         version = answer.getLong("version");
         if (full || !entries.isEmpty()) {
             counters.add(Count.DISCOVERY_UPDATES);
-            logic.onDiscoveryUpdate(full, entries, () -> addresses.forEach(pool::setAddress));
+            logicTask.onDiscoveryUpdate(full, entries, () -> addresses.forEach(pool::setAddress));
         }
     }
 
@@ -208,9 +208,9 @@
     }
 
     /** Returns the index of a name; all names that are not listed share the next free index. */
-    private static int indexOf(List<String> names, String name) {
-        int index = names.indexOf(name);
-        return index < 0 ? names.size() : index;
+    private static int indexOf(List<String> knownNames, String name) {
+        int index = knownNames.indexOf(name);
+        return index < 0 ? knownNames.size() : index;
     }
 
     /** Ends the watch. */
--- a/router/src/main/java/ironwind/net/HostConnection.java
+++ b/router/src/main/java/ironwind/net/HostConnection.java
@@ -54,13 +54,13 @@
     interface Request {
         /**
          * The connection is ready: the request is to be written with {@link HostConnection#write},
-         * or given up with {@link HostConnection#releaseUnused}.
+         * or given up with {@link HostConnection#releaseUnsent}.
          */
         void onConnected();
 
         /**
          * The request has ended. The connection calls this once, and not at all after {@link
-         * HostConnection#giveUp} or {@link HostConnection#releaseUnused}.
+         * HostConnection#giveUp} or {@link HostConnection#releaseUnsent}.
          *
          * @param answer what the host sent; null if no connection could be acquired or the request
          *     was given up
@@ -90,7 +90,7 @@
     public void onConnected() {
         if (!closed) {
             socket.setReadInterest(true);
-            socket.write(Encoder.startup(USER, DATABASE));
+            socket.write(Encoder.startupMessage(USER, DATABASE));
         }
     }
 
@@ -120,7 +120,7 @@
     }
 
     /** Gives up the request before it is written, and returns the connection to the pool. */
-    void releaseUnused() {
+    void releaseUnsent() {
         request = null;
         pool.release(this);
     }
@@ -156,7 +156,7 @@
             // Data after the end of an answer, or before the request was written completely: from
             // here on, answers cannot be matched to requests.
             pool.logUnsolicitedData(this, bytes.length);
-            end(request == null ? Ending.UNSOLICITED_DATA : Ending.LOST_BEFORE_SENT);
+            endWith(request == null ? Ending.UNSOLICITED_DATA : Ending.LOST_BEFORE_SENT);
             return;
         }
         try {
@@ -232,7 +232,7 @@
 
     private void onMalformed(PgException cause) {
         pool.logMalformedData(this, cause);
-        end(isRequestWritten() ? Ending.MALFORMED_ANSWER : Ending.LOST_BEFORE_SENT);
+        endWith(isRequestWritten() ? Ending.MALFORMED_ANSWER : Ending.LOST_BEFORE_SENT);
     }
 
     /**
@@ -289,22 +289,22 @@
             return;
         }
         if (request == null) {
-            end(Ending.CLOSED_BY_HOST);
+            endWith(Ending.CLOSED_BY_HOST);
         } else if (answer.isComplete()) {
-            end(answer.ending());
+            endWith(answer.ending());
         } else {
-            end(isRequestWritten() ? Ending.LOST_AFTER_SENT : Ending.LOST_BEFORE_SENT);
+            endWith(isRequestWritten() ? Ending.LOST_AFTER_SENT : Ending.LOST_BEFORE_SENT);
         }
     }
 
     /** Ends the connection unless its startup sequence is complete. */
     void failConnect(Ending ending) {
         if (!closed && !ready) {
-            end(ending);
+            endWith(ending);
         }
     }
 
-    private void end(Ending ending) {
+    private void endWith(Ending ending) {
         Request ended = request;
         HostAnswer received = answer;
         request = null;
--- a/router/src/main/java/ironwind/net/LogicTask.java
+++ b/router/src/main/java/ironwind/net/LogicTask.java
@@ -171,7 +171,7 @@
             counters.add(Count.FAULTS);
             log.error("fault", e);
             if (exchange != null) {
-                answer(exchange, Count.ABORTED, Encoder.errorAndReady(ABORTED));
+                answer(exchange, Count.ABORTED, Encoder.errorResponseAndReady(ABORTED));
             }
         }
     }
@@ -322,7 +322,7 @@
                         if (logic.maySendNow(time, request.callOut)) {
                             request.write(time);
                         } else {
-                            request.skip();
+                            request.releaseUnsent();
                         }
                     }
                 });
@@ -352,7 +352,7 @@
         callOutRequests.remove(callOut);
         boolean open = rpc.state != Rpc.State.DONE;
         if (outcome == Outcome.OK && open) {
-            answer(request.exchange, Count.OK, Encoder.rowInParts(answer.row()));
+            answer(request.exchange, Count.OK, Encoder.singleRowResultParts(answer.row()));
         }
         // A malformed or missing answer gives neither a role nor a position.
         Role role = outcome.answered ? answer.role() : Role.UNKNOWN;
@@ -411,7 +411,7 @@
     }
 
     private void answer(Rpc rpc, Count count, PgError error) {
-        answer(exchangesByRpc.get(rpc), count, Encoder.errorAndReady(error));
+        answer(exchangesByRpc.get(rpc), count, Encoder.errorResponseAndReady(error));
         removeIfDone(rpc);
     }
 
--- a/router/src/main/java/ironwind/net/Probe.java
+++ b/router/src/main/java/ironwind/net/Probe.java
@@ -13,15 +13,15 @@
     /** The statement that asks the host for a load report. */
     static final String LOAD_REPORT = "SHOW load";
 
-    private final LogicTask task;
+    private final LogicTask logicTask;
     private final Host host;
     private String statement;
     private HostConnection connection;
     private Timers.Timer timeout;
 
     /** Creates a probe that has not been started. */
-    Probe(LogicTask task, Host host) {
-        this.task = task;
+    Probe(LogicTask logicTask, Host host) {
+        this.logicTask = logicTask;
         this.host = host;
     }
 
@@ -39,7 +39,7 @@
 
     @Override
     public void onConnected() {
-        connection.write(Encoder.query(statement));
+        connection.write(Encoder.queryMessage(statement));
     }
 
     /** Gives up the probe because of its timeout, and closes its connection. */
@@ -52,7 +52,7 @@
     public void onEnded(Ending ending, HostAnswer answer) {
         timeout.cancel();
         boolean answered = ending == Ending.SERVED;
-        task.onProbeEnded(
+        logicTask.onProbeEnded(
                 host,
                 answered,
                 answered ? answer.loadReportRole() : Role.UNKNOWN,
--- a/router/src/main/java/ironwind/net/Show.java
+++ b/router/src/main/java/ironwind/net/Show.java
@@ -55,12 +55,12 @@
             return null;
         }
         return switch (words[1]) {
-            case "stats" -> Encoder.row(Row.ofText("stats", counters.toString()));
+            case "stats" -> Encoder.singleRowResult(Row.ofText("stats", counters.toString()));
             case "clients" ->
-                    Encoder.table(
+                    Encoder.tableResult(
                             List.of("standing", "connections", "longest_in_it_ms"), clients());
-            case "idle" -> Encoder.table(NAME_AND_VALUE, idle());
-            case "memory" -> Encoder.table(List.of("use", "bytes", "refused"), memory());
+            case "idle" -> Encoder.tableResult(NAME_AND_VALUE, idle());
+            case "memory" -> Encoder.tableResult(List.of("use", "bytes", "refused"), memory());
             default -> null;
         };
     }
--- a/router/src/main/java/ironwind/net/Warmup.java
+++ b/router/src/main/java/ironwind/net/Warmup.java
@@ -173,7 +173,7 @@
         if (!ids.contains(statement.attributes().getOrDefault("id", ""))) {
             return null;
         }
-        return Encoder.row(
+        return Encoder.singleRowResult(
                 Row.ofText("val", statement.rowKey()),
                 Map.of("applied_ms", Long.toString(System.currentTimeMillis())));
     }
--- a/router/src/main/java/ironwind/pg/Encoder.java
+++ b/router/src/main/java/ironwind/pg/Encoder.java
@@ -40,7 +40,7 @@
     }
 
     /** Returns the response that rejects a request for encryption. */
-    public static byte[] encryptionRejected() {
+    public static byte[] encryptionRejectedResponse() {
         return new byte[] {'N'};
     }
 
@@ -49,7 +49,7 @@
      *
      * @param rows the rows, each with as many values as there are columns
      */
-    public static byte[] table(List<String> columns, List<List<String>> rows) {
+    public static byte[] tableResult(List<String> columns, List<List<String>> rows) {
         MessageWriter writer = new MessageWriter().beginMessage('T').writeInt16(columns.size());
         columns.forEach(
                 column ->
@@ -77,12 +77,12 @@
     }
 
     /** Returns a complete result of one row. */
-    public static byte[] row(Row row) {
-        return row(row, Map.of());
+    public static byte[] singleRowResult(Row row) {
+        return singleRowResult(row, Map.of());
     }
 
     /** Returns a complete result of one row, with a ParameterStatus for each parameter. */
-    public static byte[] row(Row row, Map<String, String> parameters) {
+    public static byte[] singleRowResult(Row row, Map<String, String> parameters) {
         MessageWriter writer = completeRow(startRow(row).writeBytes(row.data()), row);
         parameters.forEach(
                 (name, value) ->
@@ -91,7 +91,7 @@
     }
 
     /** Returns a complete result of one row in parts, so that a large value is not copied. */
-    public static byte[][] rowInParts(Row row) {
+    public static byte[][] singleRowResultParts(Row row) {
         return new byte[][] {
             startRow(row).toByteArray(),
             row.data(),
@@ -113,21 +113,21 @@
     }
 
     /** Returns an ErrorResponse followed by ReadyForQuery. */
-    public static byte[] errorAndReady(PgError error) {
-        return error(error, "ERROR").writeBytes(READY_FOR_QUERY).toByteArray();
+    public static byte[] errorResponseAndReady(PgError error) {
+        return errorResponse(error, "ERROR").writeBytes(READY_FOR_QUERY).toByteArray();
     }
 
     /** Returns an ErrorResponse without the ReadyForQuery that has to follow it. */
-    public static byte[] error(PgError error) {
-        return error(error, "ERROR").toByteArray();
+    public static byte[] errorResponse(PgError error) {
+        return errorResponse(error, "ERROR").toByteArray();
     }
 
     /** Returns an ErrorResponse of severity FATAL, after which the connection is closed. */
-    public static byte[] fatalError(PgError error) {
-        return error(error, "FATAL").toByteArray();
+    public static byte[] fatalErrorResponse(PgError error) {
+        return errorResponse(error, "FATAL").toByteArray();
     }
 
-    private static MessageWriter error(PgError error, String severity) {
+    private static MessageWriter errorResponse(PgError error, String severity) {
         MessageWriter writer =
                 new MessageWriter()
                         .beginMessage('E')
@@ -160,7 +160,7 @@
     }
 
     /** Returns a startup message. */
-    public static byte[] startup(String user, String database) {
+    public static byte[] startupMessage(String user, String database) {
         return new MessageWriter()
                 .beginMessage(Frame.STARTUP)
                 .writeInt32(PROTOCOL_VERSION)
@@ -178,7 +178,7 @@
      *
      * @param sql the query text, one char per byte
      */
-    public static byte[] query(String sql) {
+    public static byte[] queryMessage(String sql) {
         return new MessageWriter().beginMessage('Q').writeString(sql).endMessage().toByteArray();
     }
 }
--- a/router/src/test/java/ironwind/net/RouterTest.java
+++ b/router/src/test/java/ironwind/net/RouterTest.java
@@ -221,7 +221,7 @@
 
     private PgConnection connectClient() throws IOException {
         PgConnection client = openConnection();
-        client.send(Encoder.startup("client", "core"), Encoder.query(""));
+        client.send(Encoder.startupMessage("client", "core"), Encoder.queryMessage(""));
         assertThat(client.readResponse()).isEqualTo("RSSSSZ");
         assertThat(client.readResponse()).isEqualTo("IZ");
         return client;
@@ -239,7 +239,7 @@
     }
 
     private byte[] request(String template, long timeLeftMs) {
-        return Encoder.query(template.formatted(nextRequestId++, timeLeftMs));
+        return Encoder.queryMessage(template.formatted(nextRequestId++, timeLeftMs));
     }
 
     /**
@@ -289,12 +289,12 @@
         PgConnection client = publishHostsAndConnect();
         client.send(
                 request(method.equals("read") ? READ_TEMPLATE : WRITE_TEMPLATE, 800),
-                Encoder.query(""));
+                Encoder.queryMessage(""));
         assertThat(client.readResponse()).isEqualTo(expected);
         assertThat(client.readResponse()).isEqualTo("IZ");
         assertThat(primary.possibleExecutions + replica.possibleExecutions)
                 .isLessThanOrEqualTo(method.equals("read") ? 4 : 1);
-        client.send(Encoder.query("SHOW stats"));
+        client.send(Encoder.queryMessage("SHOW stats"));
         assertThat(client.readResponse()).isEqualTo("TDCZ");
         assertThat(new String(client.lastDataRow, StandardCharsets.UTF_8))
                 .contains("rpcs=1 ")
@@ -332,8 +332,8 @@
         assertThat(replica.acceptedConnections).isEqualTo(1);
         client.send(
                 request(READ_TEMPLATE, 900),
-                Encoder.query("SHOW stats"),
-                Encoder.query("nonsense"));
+                Encoder.queryMessage("SHOW stats"),
+                Encoder.queryMessage("nonsense"));
         assertThat(List.of(client.readResponse(), client.readResponse(), client.readResponse()))
                 .containsExactly("TDCZ", "TDCZ", "E0A000");
         assertThat(new String(client.lastDataRow, StandardCharsets.UTF_8)).contains("rpcs=4");
@@ -358,7 +358,7 @@
             throws Exception {
         PgConnection other = publishHostsAndConnect();
         PgConnection bad = openConnection();
-        bad.send(Encoder.startup("client", "core"));
+        bad.send(Encoder.startupMessage("client", "core"));
         assertThat(bad.readResponse()).isEqualTo("RSSSSZ");
         bad.send(HexFormat.of().parseHex(hex));
         long startNanos = System.nanoTime();
@@ -392,11 +392,11 @@
         replica.actions = new String[] {"row on release"};
         PgConnection other = publishHostsAndConnect();
         other.send(
-                Encoder.query(
+                Encoder.queryMessage(
                         "/* id=open,c=read,d=2000,cluster=2 */ SELECT val FROM state WHERE uid = 'k'"));
         replica.requests.take();
         PgConnection bad = connectClient();
-        bad.send(Encoder.query("/* " + comment + " */ SELECT 2"), Encoder.query(""));
+        bad.send(Encoder.queryMessage("/* " + comment + " */ SELECT 2"), Encoder.queryMessage(""));
         assertThat(bad.readResponse()).isEqualTo("E42601");
         assertThat(bad.readResponse()).isEqualTo("IZ");
         replica.release.countDown();
@@ -452,8 +452,8 @@
         startRouter(new Router(config, new Log(new PrintStream(logOutput, true))));
         PgConnection client = publishHostsAndConnect();
         client.send(
-                Encoder.query("/* id=rehearsal-1,c=0,d=9,cluster=0 */ SELECT 1"),
-                Encoder.query("SHOW stats"));
+                Encoder.queryMessage("/* id=rehearsal-1,c=0,d=9,cluster=0 */ SELECT 1"),
+                Encoder.queryMessage("SHOW stats"));
         assertThat(client.readResponse()).isEqualTo("E42601");
         assertThat(client.readResponse()).isEqualTo("TDCZ");
         assertThat(new String(client.lastDataRow, StandardCharsets.UTF_8))
@@ -539,7 +539,7 @@
                         .map(i -> request(READ_TEMPLATE, 5_000))
                         .toArray(byte[][]::new));
         do {
-            other.send(Encoder.query("SHOW stats"));
+            other.send(Encoder.queryMessage("SHOW stats"));
             other.readResponse();
         } while (!new String(other.lastDataRow, StandardCharsets.UTF_8).contains("rpcs=16 "));
         replica.release.countDown();
@@ -652,7 +652,7 @@
         for (int group = 0; group < 256; group++) {
             for (String template : List.of(READ_TEMPLATE, WRITE_TEMPLATE)) {
                 client.send(
-                        Encoder.query(
+                        Encoder.queryMessage(
                                 template.formatted(nextRequestId++, 1_900)
                                         .replace("cluster=2", "cluster=" + group)));
                 assertThat(client.readResponse())
@@ -713,7 +713,7 @@
                                                 new Class<?>[] {Inbound.class},
                                                 logic)));
         PgConnection client = publishHostsAndConnect();
-        client.send(request(READ_TEMPLATE, 100), Encoder.query(""));
+        client.send(request(READ_TEMPLATE, 100), Encoder.queryMessage(""));
         assertThat(client.readResponse()).isEqualTo("E40003");
         assertThat(client.readResponse()).isEqualTo("IZ");
         assertThat(logOutput.toString())
@@ -877,13 +877,13 @@
         private Void serveConnection(Socket socket) throws Exception {
             try (socket) {
                 PgConnection connection = new PgConnection(socket);
-                socket.getInputStream().readNBytes(Encoder.startup("client", "core").length);
+                socket.getInputStream().readNBytes(Encoder.startupMessage("client", "core").length);
                 if (List.of("close on startup", "refuse startup", "garbage on startup")
                         .contains(currentAction(false))) {
                     switch (currentAction(true)) {
                         case "refuse startup" ->
                                 connection.send(
-                                        Encoder.fatalError(
+                                        Encoder.fatalErrorResponse(
                                                 new PgError(
                                                         "53300", "too many connections", null)));
                         case "garbage on startup" ->
@@ -916,7 +916,7 @@
         /** Handles one statement and returns whether the connection stays open. */
         private boolean handleStatement(PgConnection connection, String sql) throws Exception {
             if (sql.startsWith("SELECT 1")) {
-                connection.send(Encoder.row(Row.ofText("one", "1")));
+                connection.send(Encoder.singleRowResult(Row.ofText("one", "1")));
                 return true;
             }
             String action = currentAction(true);
@@ -931,18 +931,20 @@
                 }
                 case "overloaded" ->
                         connection.send(
-                                Encoder.errorAndReady(new PgError("53300", "overloaded", null)));
+                                Encoder.errorResponseAndReady(
+                                        new PgError("53300", "overloaded", null)));
                 case "read-only" ->
                         connection.send(
-                                Encoder.errorAndReady(new PgError("25006", "read-only", null)));
+                                Encoder.errorResponseAndReady(
+                                        new PgError("25006", "read-only", null)));
                 case "error" ->
                         connection.send(
-                                Encoder.errorAndReady(
+                                Encoder.errorResponseAndReady(
                                         new PgError("XX000", "internal error", null)));
                 case "two rows" -> {
-                    byte[] messages = Encoder.row(Row.ofText("val", "x"));
+                    byte[] messages = Encoder.singleRowResult(Row.ofText("val", "x"));
                     connection.send(Arrays.copyOf(messages, messages.length - 6 - 14));
-                    connection.send(Encoder.row(Row.ofText("val", "y")));
+                    connection.send(Encoder.singleRowResult(Row.ofText("val", "y")));
                 }
                 case "tag without row" ->
                         connection.send(HexFormat.of().parseHex("430000000d53454c454354203100"));
@@ -980,7 +982,7 @@
          */
         private void sendRow(PgConnection connection, byte[]... trailer) throws IOException {
             byte[] messages =
-                    Encoder.row(
+                    Encoder.singleRowResult(
                             new Row(
                                     Row.ofText("val", "").description(),
                                     dataRowBody(),
--- a/router/src/test/java/ironwind/net/ShowTest.java
+++ b/router/src/test/java/ironwind/net/ShowTest.java
@@ -46,7 +46,7 @@
                         .toList();
         assertThat(show.answerTo("SHOW clients"))
                 .isEqualTo(
-                        Encoder.table(
+                        Encoder.tableResult(
                                 List.of("standing", "connections", "longest_in_it_ms"), rows));
     }
 
--- a/router/src/test/java/ironwind/pg/PgTest.java
+++ b/router/src/test/java/ironwind/pg/PgTest.java
@@ -53,9 +53,9 @@
     void decodesTheSameMessagesForEverySplitOfTheInput() {
         byte[] all =
                 concat(
-                        Encoder.startup("client", "core"),
-                        Encoder.query("/* id=1 */ SELECT 'é'"),
-                        Encoder.query(""),
+                        Encoder.startupMessage("client", "core"),
+                        Encoder.queryMessage("/* id=1 */ SELECT 'é'"),
+                        Encoder.queryMessage(""),
                         bytes("58 00000004"));
         List<ClientMessage> expected = decodeClientMessages(all);
         assertThat(expected)
@@ -135,7 +135,7 @@
                         bytes("0001 76616c00 00000000 0000 00000011 ffff ffffffff 0001"),
                         data,
                         "SELECT 1");
-        List<HostMessage> messages = decodeHostMessages(Encoder.row(row));
+        List<HostMessage> messages = decodeHostMessages(Encoder.singleRowResult(row));
         assertThat(((HostMessage.RowDescription) messages.get(0)).body())
                 .isEqualTo(row.description());
         assertThat(((HostMessage.DataRow) messages.get(1)).body()).isEqualTo(data);
@@ -148,10 +148,10 @@
     @Test
     void errorsKeepSqlStateMessageAndDetail() {
         PgError error = new PgError(PgError.TOO_MANY_CONNECTIONS, "full", "250");
-        assertThat(decodeHostMessages(Encoder.errorAndReady(error)))
+        assertThat(decodeHostMessages(Encoder.errorResponseAndReady(error)))
                 .containsExactly(
                         new HostMessage.ErrorResponse(error), new HostMessage.ReadyForQuery());
-        assertThat(decodeHostMessages(Encoder.fatalError(new PgError("08P01", "no", null))))
+        assertThat(decodeHostMessages(Encoder.fatalErrorResponse(new PgError("08P01", "no", null))))
                 .containsExactly(new HostMessage.ErrorResponse(new PgError("08P01", "no", null)));
         assertThat(Row.ofText("stats", "a=1").text()).isEqualTo("a=1");
     }
--- a/standin/src/main/java/ironwind/standin/StandInHost.java
+++ b/standin/src/main/java/ironwind/standin/StandInHost.java
@@ -106,7 +106,7 @@
             }
             record(statement);
             connection.write(
-                    Encoder.row(
+                    Encoder.singleRowResult(
                             Row.ofText("val", "v".repeat(valueBytes(statement))),
                             Map.of(
                                     "role",
