--- a/router/src/main/java/ironwind/net/ClientConnection.java
+++ b/router/src/main/java/ironwind/net/ClientConnection.java
@@ -118,7 +118,7 @@
         } else {
             updateState();
         }
-        connections.markRead(this);
+        connections.resetQueueTime(this);
     }
 
     /**
@@ -140,7 +140,7 @@
             }
             updateReservation();
         } catch (PgException e) {
-            fail(e);
+            closeForError(e);
         } finally {
             processing = false;
         }
@@ -185,7 +185,7 @@
             frameDecoder.startupDone();
             write(Encoder.startupResponse());
         } else if (message instanceof ClientMessage.EncryptionRequest) {
-            write(Encoder.encryptionRejected());
+            write(Encoder.encryptionRejectedResponse());
         } else if (message instanceof ClientMessage.ExtendedQuery) {
             if (!skippingToSync) {
                 skippingToSync = true;
@@ -193,7 +193,7 @@
                         new PgException(
                                 PgException.FEATURE_NOT_SUPPORTED,
                                 "the extended query protocol is not supported"),
-                        Encoder::error);
+                        Encoder::errorResponse);
             }
         } else if (message instanceof ClientMessage.Sync) {
             skippingToSync = false;
@@ -217,7 +217,7 @@
         try {
             connections.execute(this, sql);
         } catch (PgException e) {
-            answerError(e, Encoder::errorAndReady);
+            answerError(e, Encoder::errorResponseAndReady);
         }
     }
 
@@ -225,13 +225,13 @@
 
     /** Counts and logs malformed input, and answers it with an error that the encoder encodes. */
     private void answerError(PgException e, Function<PgError, byte[]> encoder) {
-        connections.recordMalformed(e);
+        connections.recordInputError(e);
         addExchange(null, 0).answer(encoder.apply(new PgError(e.sqlState, e.getMessage(), null)));
     }
 
     /** Ends the connection with a fatal error, after the answers to the commands before it. */
-    void fail(PgException e) {
-        closeWith(() -> answerError(e, Encoder::fatalError));
+    void closeForError(PgException e) {
+        closeWithError(() -> answerError(e, Encoder::fatalErrorResponse));
     }
 
     /**
@@ -239,13 +239,13 @@
      *
      * @param retryAfter time after which the client may try again; zero leaves it out of the error
      */
-    void reject(CloseReason reason, Span retryAfter) {
+    void closeForLimit(CloseReason reason, Span retryAfter) {
         PgError error =
                 new PgError(reason.sqlState, reason.message, Timers.formatRetryAfter(retryAfter));
-        closeWith(() -> addExchange(null, 0).answer(Encoder.fatalError(error)));
+        closeWithError(() -> addExchange(null, 0).answer(Encoder.fatalErrorResponse(error)));
     }
 
-    private void closeWith(Runnable writeError) {
+    private void closeWithError(Runnable writeError) {
         if (!closed && pendingEnding != Ending.CLIENT_FATAL_ERROR) {
             pendingEnding = Ending.CLIENT_FATAL_ERROR;
             discardInput();
@@ -356,7 +356,7 @@
                                                 ? ConnectionState.RECEIVING
                                                 : hasAnsweredRpc
                                                         ? ConnectionState.IDLE
-                                                        : ConnectionState.UNUSED;
+                                                        : ConnectionState.AWAITING_FIRST_RPC;
         if (restart || newState != state()) {
             connections.setState(this, newState);
         }
