--- a/cli/src/main/java/ironwind/cli/Lab.java
+++ b/cli/src/main/java/ironwind/cli/Lab.java
@@ -7,5 +7,5 @@
         name = "lab",
         mixinStandardHelpOptions = true,
         description = "Load generators and benchmarks.",
-        subcommands = {LabIdle.class, LabKeeper.class, LabSockets.class})
+        subcommands = {LabIdle.class, LabConnectionManager.class, LabSockets.class})
 final class Lab {}
--- a/cli/src/main/java/ironwind/cli/LabKeeper.java
+++ b/cli/src/main/java/ironwind/cli/LabConnectionManager.java
@@ -1,6 +1,6 @@
 package ironwind.cli;
 
-import ironwind.lab.KeeperBenchmark;
+import ironwind.lab.ConnectionManagerBenchmark;
 import java.util.List;
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
@@ -12,7 +12,7 @@
         mixinStandardHelpOptions = true,
         description =
                 "Measure the time and memory of connection admission and eviction, without sockets.")
-final class LabKeeper implements Callable<Integer> {
+final class LabConnectionManager implements Callable<Integer> {
     @Option(
             names = "--connections",
             split = ",",
@@ -23,7 +23,7 @@
 
     @Override
     public Integer call() throws Exception {
-        new KeeperBenchmark(System.out).run(connectionCounts);
+        new ConnectionManagerBenchmark(System.out).run(connectionCounts);
         return 0;
     }
 }
--- a/lab/src/main/java/ironwind/lab/ClientWorker.java
+++ b/lab/src/main/java/ironwind/lab/ClientWorker.java
@@ -70,7 +70,7 @@
             System.out.println(
                     switch (words[0]) {
                         case "open" -> worker.open(Integer.parseInt(words[1]), true);
-                        case "wake" -> worker.sendFromAllIdle(Long.parseLong(words[1]));
+                        case "wake" -> worker.sendBurst(Long.parseLong(words[1]));
                         case "slow" -> worker.openSlowReaders(Integer.parseInt(words[1]), words[2]);
                         default -> worker.countOpen();
                     });
@@ -157,7 +157,7 @@
      * Sends a read on every idle connection at once, and waits until each was answered or closed.
      * {@code sent_ms} in the reply is the time that sending them took.
      */
-    private String sendFromAllIdle(long deadlineMs) throws InterruptedException {
+    private String sendBurst(long deadlineMs) throws InterruptedException {
         Map<Outcome, Integer> outcomes = new EnumMap<>(Outcome.class);
         CountDownLatch sent = new CountDownLatch(1);
         CountDownLatch[] done = new CountDownLatch[1];
--- a/lab/src/main/java/ironwind/lab/KeeperBenchmark.java
+++ b/lab/src/main/java/ironwind/lab/ConnectionManagerBenchmark.java
@@ -18,7 +18,7 @@
  * Measures the time that connection admission and eviction decisions take and the heap kept for
  * each connection, without any sockets.
  */
-public final class KeeperBenchmark {
+public final class ConnectionManagerBenchmark {
     private static final int ROUNDS = 15;
     private static final int STEPS_PER_ROUND = 200_000;
     private static final int ADDRESS_COUNT = 1_000;
@@ -28,7 +28,7 @@
     private final PrintStream out;
 
     /** Creates a benchmark that prints its results to {@code out}. */
-    public KeeperBenchmark(PrintStream out) {
+    public ConnectionManagerBenchmark(PrintStream out) {
         this.out = out;
     }
 
@@ -90,12 +90,12 @@
         double[] timerNanos = new double[ROUNDS];
         double[] answerNanos = new double[ROUNDS];
         double[] evictionNanos = new double[ROUNDS];
-        int dueCount = 0;
+        int expiredCount = 0;
         for (int round = 0; round < ROUNDS; round++) {
             long startNanos = System.nanoTime();
             for (int i = 0; i < STEPS_PER_ROUND; i++) {
-                dueCount += manager.nextExpired(now) == null ? 0 : 1;
-                dueCount += unsentAnswers.nextToClose(now) == null ? 0 : 1;
+                expiredCount += manager.nextExpired(now) == null ? 0 : 1;
+                expiredCount += unsentAnswers.nextToClose(now) == null ? 0 : 1;
             }
             timerNanos[round] = (System.nanoTime() - startNanos) / (double) STEPS_PER_ROUND;
             startNanos = System.nanoTime();
@@ -115,7 +115,7 @@
             }
             evictionNanos[round] = (System.nanoTime() - startNanos) / (double) STEPS_PER_ROUND;
         }
-        if (dueCount > 0) {
+        if (expiredCount > 0) {
             throw new IllegalStateException(
                     "a connection without a time limit was reported as due");
         }
--- a/lab/src/main/java/ironwind/lab/IdleBenchmark.java
+++ b/lab/src/main/java/ironwind/lab/IdleBenchmark.java
@@ -34,13 +34,16 @@
     private static final int CONNECTIONS_PER_WORKER = 17_500;
 
     private static final int REPORTED_CLASSES = 12;
-    private static final double KB_PER_MB = 1_024;
+    private static final double KIB_PER_MIB = 1_024;
     private static final Pattern SOCKSTAT_MEMORY = Pattern.compile("mem ([0-9]+)");
-    private static final long PAGE_KB = 4;
+    private static final long PAGE_KIB = 4;
 
     private final Plan plan;
     private final PrintStream out;
 
+    /** Connections that the last worker was told to open. */
+    private int connectionsOfLastWorker;
+
     /**
      * What to measure, and how.
      *
@@ -123,9 +126,9 @@
                 try (LoadGenerator load =
                         new LoadGenerator(addresses, LOAD_CONNECTIONS, plan.requestsPerSecond())) {
                     load.run(Math.max(2, plan.secondsPerRun() / 2));
-                    measureSizes(name, routers, workers, addresses, load, results);
+                    measureIdleConnections(name, routers, workers, addresses, load, results);
                     if (plan.wakeDeadlineMs() > 0) {
-                        measureWake(name, routers, workers, results);
+                        measureBurst(name, routers, workers, results);
                     }
                     if (plan.slowReaders() > 0) {
                         measureSlowReaders(name, routers, addresses, workers, load, results);
@@ -152,12 +155,12 @@
     }
 
     private record Snapshot(
-            double liveKb,
-            double residentKb,
-            double kernelKb,
+            double liveKib,
+            double residentKib,
+            double kernelKib,
             Map<String, Long> liveBytesByClass) {}
 
-    private void measureSizes(
+    private void measureIdleConnections(
             String name,
             List<RouterProcess> routers,
             List<ClientWorkerProcess> workers,
@@ -189,13 +192,15 @@
                             .put("what", "idle")
                             .put("idle", connections)
                             .put("still_open", open)
-                            .put("live_kb_each", (snapshot.liveKb - baseline.liveKb) / count)
+                            .put("live_kb_each", (snapshot.liveKib - baseline.liveKib) / count)
                             .put(
                                     "resident_kb_each",
-                                    (snapshot.residentKb - baseline.residentKb) / count)
-                            .put("kernel_kb_each", (snapshot.kernelKb - baseline.kernelKb) / count)
-                            .put("resident_kb", snapshot.residentKb)
-                            .put("live_kb", snapshot.liveKb)
+                                    (snapshot.residentKib - baseline.residentKib) / count)
+                            .put(
+                                    "kernel_kb_each",
+                                    (snapshot.kernelKib - baseline.kernelKib) / count)
+                            .put("resident_kb", snapshot.residentKib)
+                            .put("live_kb", snapshot.liveKib)
                             .put("cpu_percent", cpuPercent);
             putLatencies(figures, result);
             results.add(figures);
@@ -252,10 +257,10 @@
         // Fills one worker after another, so that each stays below the limit of one process.
         int remaining = count;
         while (remaining > 0) {
-            int free = workers.isEmpty() ? 0 : CONNECTIONS_PER_WORKER - inLastWorker;
+            int free = workers.isEmpty() ? 0 : CONNECTIONS_PER_WORKER - connectionsOfLastWorker;
             if (free == 0) {
                 workers.add(new ClientWorkerProcess(workers.size(), addresses));
-                inLastWorker = 0;
+                connectionsOfLastWorker = 0;
                 free = CONNECTIONS_PER_WORKER;
             }
             int batch = Math.min(free, remaining);
@@ -267,14 +272,11 @@
                     batch,
                     reply.get("ms"),
                     reply.get("OK") < batch ? " with failures: " + reply : "");
-            inLastWorker += batch;
+            connectionsOfLastWorker += batch;
             remaining -= batch;
         }
     }
 
-    /** Connections that the last worker was told to open. */
-    private int inLastWorker;
-
     private long countOpen(List<ClientWorkerProcess> workers) throws IOException {
         long open = 0;
         for (ClientWorkerProcess worker : workers) {
@@ -287,18 +289,18 @@
     private Snapshot takeSnapshot(List<RouterProcess> routers)
             throws IOException, InterruptedException {
         Map<String, Long> liveBytesByClass = new HashMap<>();
-        double residentKb = 0;
+        double residentKib = 0;
         for (RouterProcess router : routers) {
             router.collectGarbage();
             router.liveBytesByClass()
                     .forEach((type, bytes) -> liveBytesByClass.merge(type, bytes, Long::sum));
             router.collectGarbage();
-            residentKb += router.residentKb();
+            residentKib += router.residentKib();
         }
         return new Snapshot(
-                RouterProcess.totalKb(liveBytesByClass),
-                residentKb,
-                kernelBuffersKb(),
+                RouterProcess.totalKib(liveBytesByClass),
+                residentKib,
+                kernelBuffersKib(),
                 liveBytesByClass);
     }
 
@@ -306,13 +308,13 @@
      * Returns the memory of the kernel's TCP buffers, as counted in pages in {@code
      * /proc/net/sockstat}: both ends of all connections of this machine.
      */
-    private static double kernelBuffersKb() throws IOException {
+    private static double kernelBuffersKib() throws IOException {
         Optional<String> line =
                 Files.readAllLines(Path.of("/proc/net/sockstat")).stream()
                         .filter(entry -> entry.startsWith("TCP:"))
                         .findFirst();
         Matcher matcher = SOCKSTAT_MEMORY.matcher(line.orElse(""));
-        return matcher.find() ? PAGE_KB * Double.parseDouble(matcher.group(1)) : 0;
+        return matcher.find() ? PAGE_KIB * Double.parseDouble(matcher.group(1)) : 0;
     }
 
     private static double cpuSeconds(List<RouterProcess> routers) throws IOException {
@@ -323,7 +325,7 @@
         return total;
     }
 
-    private void measureWake(
+    private void measureBurst(
             String name,
             List<RouterProcess> routers,
             List<ClientWorkerProcess> workers,
@@ -342,19 +344,19 @@
                                             value,
                                             key.endsWith("ms") ? Math::max : Long::sum));
         }
-        double peakMb = 0;
+        double peakMib = 0;
         for (RouterProcess router : routers) {
-            peakMb = Math.max(peakMb, router.peakResidentKb() / KB_PER_MB);
+            peakMib = Math.max(peakMib, router.peakResidentKib() / KIB_PER_MIB);
         }
         out.printf(
                 "%-8s all sent at once: %s, peak resident size of a router %.0f MB, routers alive %d of %d%n",
                 name,
                 total,
-                peakMb,
+                peakMib,
                 routers.stream().filter(RouterProcess::isAlive).count(),
                 routers.size());
         JsonObject figures =
-                new JsonObject().put("text", name).put("what", "wake").put("highest_mb", peakMb);
+                new JsonObject().put("text", name).put("what", "wake").put("highest_mb", peakMib);
         total.forEach(figures::put);
         results.add(figures);
     }
@@ -377,9 +379,9 @@
         // is long enough for this if their number divided by its seconds is at most
         // ClientWorker.SLOW_READERS_PER_SECOND.
         Result after = load.run(plan.secondsPerRun());
-        double peakMb = 0;
+        double peakMib = 0;
         for (RouterProcess router : routers) {
-            peakMb = Math.max(peakMb, router.peakResidentKb() / KB_PER_MB);
+            peakMib = Math.max(peakMib, router.peakResidentKib() / KIB_PER_MIB);
         }
         out.printf(
                 "%-8s %d slow readers: p99 %.2f ms before, %.2f while they send, %.2f afterwards;"
@@ -392,7 +394,7 @@
                 countNotOk(before),
                 countNotOk(during),
                 countNotOk(after),
-                peakMb);
+                peakMib);
         JsonObject figures =
                 new JsonObject()
                         .put("text", name)
@@ -401,7 +403,7 @@
                         .put("p99_ms_before", percentileMs(before, 99))
                         .put("p99_ms_asking", percentileMs(during, 99))
                         .put("not_ok_asking", countNotOk(during))
-                        .put("highest_mb", peakMb);
+                        .put("highest_mb", peakMib);
         putLatencies(figures, after);
         results.add(figures);
     }
--- a/lab/src/main/java/ironwind/lab/RouterProcess.java
+++ b/lab/src/main/java/ironwind/lab/RouterProcess.java
@@ -24,7 +24,7 @@
 final class RouterProcess implements AutoCloseable {
     private static final int TICKS_PER_SECOND = 100;
     private static final long READY_TIMEOUT_MS = 30_000;
-    private static final double BYTES_PER_KB = 1_024;
+    private static final double BYTES_PER_KIB = 1_024;
 
     /**
      * The young generation has a fixed size; otherwise its growth would be counted as memory
@@ -171,16 +171,16 @@
     }
 
     /** Returns the resident set size in KiB. */
-    double residentKb() throws IOException {
-        return statusKb("VmRSS:");
+    double residentKib() throws IOException {
+        return statusKib("VmRSS:");
     }
 
     /** Returns the highest resident set size so far in KiB. */
-    double peakResidentKb() throws IOException {
-        return statusKb("VmHWM:");
+    double peakResidentKib() throws IOException {
+        return statusKib("VmHWM:");
     }
 
-    private double statusKb(String field) throws IOException {
+    private double statusKib(String field) throws IOException {
         try (Stream<String> lines = Files.lines(procFile("status"))) {
             String line =
                     lines.filter(candidate -> candidate.startsWith(field))
@@ -230,8 +230,8 @@
         }
     }
 
-    static double totalKb(Map<String, Long> bytesByClass) {
-        return bytesByClass.values().stream().mapToLong(Long::longValue).sum() / BYTES_PER_KB;
+    static double totalKib(Map<String, Long> bytesByClass) {
+        return bytesByClass.values().stream().mapToLong(Long::longValue).sum() / BYTES_PER_KIB;
     }
 
     /** Sends SIGTERM and returns the seconds until exit; -1 if it did not exit within 60 s. */
--- a/lab/src/main/java/ironwind/lab/SocketBenchmark.java
+++ b/lab/src/main/java/ironwind/lab/SocketBenchmark.java
@@ -43,7 +43,7 @@
     private record RunningServer(int port, AutoCloseable shutdown) {}
 
     /** Starts accepting connections; counts down the latch for each. */
-    private interface Server {
+    private interface ServerStarter {
         RunningServer start(CountDownLatch accepted) throws Exception;
     }
 
@@ -64,23 +64,23 @@
      * process, because each leaves allocations behind.
      */
     public void run(Layer layer, int connections) throws Exception {
-        Server server =
+        ServerStarter starter =
                 switch (layer) {
-                    case BARE -> this::bare;
-                    case HANDLE -> this::handle;
-                    case CHANNEL -> this::channel;
-                    case VERTX -> this::vertx;
+                    case BARE -> this::startBareServer;
+                    case HANDLE -> this::startHandleServer;
+                    case CHANNEL -> this::startChannelServer;
+                    case VERTX -> this::startVertxServer;
                 };
         // Warm-up run, so that no classes are loaded during the measurement.
-        measure(server, WARM_UP_CONNECTIONS);
+        measure(starter, WARM_UP_CONNECTIONS);
         out.printf(
                 "%-8s %8.0f bytes per connection, both ends%n",
-                layer, measure(server, connections));
+                layer, measure(starter, connections));
     }
 
-    private double measure(Server server, int connections) throws Exception {
+    private double measure(ServerStarter starter, int connections) throws Exception {
         CountDownLatch accepted = new CountDownLatch(connections);
-        RunningServer running = server.start(accepted);
+        RunningServer running = starter.start(accepted);
         List<java.nio.channels.SocketChannel> clients = new ArrayList<>(connections);
         long heapBefore = usedHeap();
         for (int i = 0; i < connections; i++) {
@@ -105,13 +105,13 @@
         return Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory();
     }
 
-    private RunningServer bare(CountDownLatch accepted) throws IOException {
+    private RunningServer startBareServer(CountDownLatch accepted) throws IOException {
         ServerSocketChannel server =
                 ServerSocketChannel.open().bind(new InetSocketAddress("127.0.0.1", 0), 4_096);
         return accept(server, channel -> {}, accepted);
     }
 
-    private RunningServer handle(CountDownLatch accepted) throws IOException {
+    private RunningServer startHandleServer(CountDownLatch accepted) throws IOException {
         IoEventLoop loop =
                 (IoEventLoop) new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
         ServerSocketChannel server =
@@ -180,7 +180,7 @@
                 });
     }
 
-    private RunningServer channel(CountDownLatch accepted) throws InterruptedException {
+    private RunningServer startChannelServer(CountDownLatch accepted) throws InterruptedException {
         MultiThreadIoEventLoopGroup eventLoops =
                 new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         int port =
@@ -218,7 +218,7 @@
         return new RunningServer(port, () -> eventLoops.shutdownGracefully().sync());
     }
 
-    private RunningServer vertx(CountDownLatch accepted) throws IOException {
+    private RunningServer startVertxServer(CountDownLatch accepted) throws IOException {
         int port;
         try (ServerSocket probe = new ServerSocket(0)) {
             port = probe.getLocalPort();
