--- a/cli/src/main/java/ironwind/cli/Check.java
+++ b/cli/src/main/java/ironwind/cli/Check.java
@@ -37,12 +37,14 @@
             paramLabel = "FILE",
             description =
                     "JSON file of a router configuration, from which the defaults are derived.")
-    private Path configFile;
+    private Path routerConfigFile;
 
     @Override
     public Integer call() {
         Limits limits =
-                configFile == null ? DEFAULT_LIMITS : RouterConfig.read(configFile).clientLimits();
+                routerConfigFile == null
+                        ? DEFAULT_LIMITS
+                        : RouterConfig.read(routerConfigFile).clientLimits();
         try {
             OperatorSettings.read(file, limits);
         } catch (HclException exception) {
--- a/cli/src/main/java/ironwind/cli/LabIdle.java
+++ b/cli/src/main/java/ironwind/cli/LabIdle.java
@@ -73,7 +73,7 @@
     private int heapMb;
 
     @Option(names = "--config", paramLabel = "FILE", description = "HCL file for the routers.")
-    private Path config;
+    private Path settingsFile;
 
     @Option(names = "--json", paramLabel = "FILE", description = "Write the results as JSON.")
     private Path json;
@@ -91,7 +91,7 @@
         IdleBenchmark.Plan plan =
                 small
                         ? new IdleBenchmark.Plan(
-                                jars, List.of(0, 50), 1, 50, 1, 5_000, 5, -1, 128, config)
+                                jars, List.of(0, 50), 1, 50, 1, 5_000, 5, -1, 128, settingsFile)
                         : new IdleBenchmark.Plan(
                                 jars,
                                 connectionCounts,
@@ -102,7 +102,7 @@
                                 slowReaders,
                                 core,
                                 heapMb,
-                                config);
+                                settingsFile);
         JsonArray figures = new IdleBenchmark(plan, System.out).run();
         if (json != null) {
             Files.writeString(json, figures.encodePrettily() + "\n");
--- a/cli/src/main/java/ironwind/cli/LogbackSink.java
+++ b/cli/src/main/java/ironwind/cli/LogbackSink.java
@@ -23,13 +23,13 @@
 
     private final org.slf4j.Logger logger;
 
-    LogbackSink(LogFormat form) {
+    LogbackSink(LogFormat format) {
         LoggerContext context = (LoggerContext) LoggerFactory.getILoggerFactory();
         context.reset();
         ConsoleAppender<ILoggingEvent> appender = new ConsoleAppender<>();
         appender.setContext(context);
         appender.setTarget("System.err");
-        appender.setEncoder(encoder(form, context));
+        appender.setEncoder(encoder(format, context));
         appender.start();
         Logger root = context.getLogger(org.slf4j.Logger.ROOT_LOGGER_NAME);
         root.addAppender(appender);
@@ -37,8 +37,8 @@
         logger = context.getLogger("ironwind");
     }
 
-    private static Encoder<ILoggingEvent> encoder(LogFormat form, LoggerContext context) {
-        if (form == LogFormat.JSON) {
+    private static Encoder<ILoggingEvent> encoder(LogFormat format, LoggerContext context) {
+        if (format == LogFormat.JSON) {
             JsonEncoder jsonEncoder = new JsonEncoder();
             jsonEncoder.setContext(context);
             jsonEncoder.start();
--- a/cli/src/main/java/ironwind/cli/Serve.java
+++ b/cli/src/main/java/ironwind/cli/Serve.java
@@ -23,7 +23,7 @@
             paramLabel = "FILE",
             description =
                     "JSON file of the router configuration (default: the file named by ROUTER_CONFIG).")
-    private Path configFile;
+    private Path routerConfigFile;
 
     @Option(
             names = "--config",
@@ -41,10 +41,10 @@
 
     @Override
     public Integer call() throws Exception {
-        RouterConfig config = RouterConfig.read(configFile);
+        RouterConfig config = RouterConfig.read(routerConfigFile);
         OperatorSettings settings = OperatorSettings.readOrDefaults(config, settingsFile);
         Log log = new Log(new LogbackSink(format == null ? settings.logFormat() : format));
-        new RouterService(configFile, config, settings, log).run();
+        new RouterService(routerConfigFile, config, settings, log).run();
         return 0;
     }
 }
--- a/cli/src/test/java/ironwind/cli/LogbackSinkTest.java
+++ b/cli/src/test/java/ironwind/cli/LogbackSinkTest.java
@@ -15,12 +15,12 @@
 class LogbackSinkTest {
     @ParameterizedTest
     @EnumSource(LogFormat.class)
-    void keysAndValuesAreWrittenUnchanged(LogFormat form) {
+    void keysAndValuesAreWrittenUnchanged(LogFormat format) {
         PrintStream originalErr = System.err;
         ByteArrayOutputStream written = new ByteArrayOutputStream();
         try {
             System.setErr(new PrintStream(written, true, StandardCharsets.UTF_8));
-            Log log = new Log(new LogbackSink(form));
+            Log log = new Log(new LogbackSink(format));
             log.info("ready", "name", "n1", "words", "two \"words\"");
             log.warn("client_refused", "open", 7);
             log.warn("client_refused", "open", 8);
@@ -29,7 +29,7 @@
         }
         String[] lines = written.toString(StandardCharsets.UTF_8).split("\n");
         assertThat(lines).hasSize(2);
-        if (form == LogFormat.JSON) {
+        if (format == LogFormat.JSON) {
             JsonObject first = new JsonObject(lines[0]);
             assertThat(first.getString("message")).isEqualTo("ready");
             assertThat(first.getString("level")).isEqualTo("INFO");
