--- a/lab/src/test/java/ironwind/lab/IdleRouterTest.java
+++ b/lab/src/test/java/ironwind/lab/IdleRouterTest.java
@@ -228,7 +228,7 @@
     @Test
     void slowReadersAreClosedAndOthersAreServed() throws Exception {
         startRouter("owed_all = \"2MiB\"\nowed_each = \"128KiB\"\nslow_reader_time = \"300ms\"");
-        BlockingClient other = servedClient();
+        BlockingClient normalClient = servedClient();
         int count = 60;
         List<AsyncClient> slow =
                 connectServedClients(count, new EnumMap<>(Outcome.class), new CountDownLatch(1));
@@ -241,15 +241,17 @@
         long maxOwed = 0;
         long closed = 0;
         while (closed < count) {
-            assertThat(other.read("other-" + nextRequest++)).isEqualTo("ok");
-            maxOwed = Math.max(maxOwed, other.showValue("memory", "owed"));
+            assertThat(normalClient.read("other-" + nextRequest++)).isEqualTo("ok");
+            maxOwed = Math.max(maxOwed, normalClient.showValue("memory", "owed"));
             closed =
-                    other.showValue("idle", "ended_slow_reader")
-                            + other.showValue("idle", "ended_owed_too_much");
+                    normalClient.showValue("idle", "ended_slow_reader")
+                            + normalClient.showValue("idle", "ended_owed_too_much");
         }
         assertThat(maxOwed).isBetween(1L, (2L << 20) + (1 << 18));
-        assertThat(other.showValue("memory", "owed")).isZero();
-        assertThat(other.showValue("clients", "served") + other.showValue("clients", "busy"))
+        assertThat(normalClient.showValue("memory", "owed")).isZero();
+        assertThat(
+                        normalClient.showValue("clients", "served")
+                                + normalClient.showValue("clients", "busy"))
                 .isLessThanOrEqualTo(1);
     }
 
@@ -257,14 +259,14 @@
     @Test
     void partiallyWrittenResponseIsSeenAsIncomplete() throws Exception {
         startRouter("owed_all = \"2MiB\"\nowed_each = \"128KiB\"\nslow_reader_time = \"300ms\"");
-        BlockingClient other = servedClient();
+        BlockingClient normalClient = servedClient();
         BlockingClient slow = connect();
         slow.startUp();
         int requests = 400;
         for (int i = 0; i < requests; i++) {
             slow.sendRead("slow-" + i, "read", "one", "big-65536");
         }
-        while (other.showValue("idle", "ended_slow_reader") == 0) {
+        while (normalClient.showValue("idle", "ended_slow_reader") == 0) {
             Thread.sleep(20);
         }
         int complete = 0;
@@ -308,8 +310,8 @@
             assertThat(busy.get(i).readResponse()).isEqualTo("ok");
         }
         assertThat(busy.get(0).showValue("idle", "ended_all_busy")).isEqualTo(300);
-        BlockingClient newcomer = servedClient();
-        assertThat(newcomer.showValue("idle", "ended_gave_way")).isEqualTo(1);
+        BlockingClient admitted = servedClient();
+        assertThat(admitted.showValue("idle", "ended_gave_way")).isEqualTo(1);
         assertThat(primary.executionCounts()).hasSize(20).doesNotContainValue(2);
     }
 
@@ -363,7 +365,7 @@
         startRouter(
                 "memory = \"256KiB\"\nowed_all = \"64KiB\"\nowed_each = \"64KiB\"\n"
                         + "message_time = \"20s\"");
-        BlockingClient other = servedClient();
+        BlockingClient normalClient = servedClient();
         List<BlockingClient> partial = new ArrayList<>();
         byte[] head = Arrays.copyOf(Encoder.query("x".repeat(130_000)), 60_000);
         int refused = 0;
@@ -391,8 +393,8 @@
             }
         }
         assertThat(refused).isBetween(3, 5);
-        assertThat(other.showValue("memory", "incoming")).isBetween(1L, 256L << 10);
-        assertThat(other.showValue("idle", "ended_no_memory")).isEqualTo(refused);
+        assertThat(normalClient.showValue("memory", "incoming")).isBetween(1L, 256L << 10);
+        assertThat(normalClient.showValue("idle", "ended_no_memory")).isEqualTo(refused);
         partial.forEach(
                 client -> {
                     try {
@@ -401,10 +403,10 @@
                         throw new IllegalStateException(e);
                     }
                 });
-        while (other.showValue("memory", "incoming") > 0) {
+        while (normalClient.showValue("memory", "incoming") > 0) {
             Thread.sleep(10);
         }
-        assertThat(other.read("after")).isEqualTo("ok");
+        assertThat(normalClient.read("after")).isEqualTo("ok");
     }
 
     @Test
--- a/router/src/test/java/ironwind/LogicTest.java
+++ b/router/src/test/java/ironwind/LogicTest.java
@@ -130,7 +130,7 @@
         "TOKENED, OVERLOADED, true, push back",
         "IDEMPOTENT, ERROR, true, push back"
     })
-    void onlyRpcsThatCannotRunTwiceAreRetriedOrPushedBack(
+    void retriesAndPushesBackOnlyWhatMayRunAgain(
             Idempotency idempotency, Outcome outcome, boolean retried, String finalAction) {
         LogicFixture fixture =
                 new LogicFixture(StaleReadPolicy.SERVE, false, idempotency, 2)
--- a/router/src/test/java/ironwind/adapter/AdapterTest.java
+++ b/router/src/test/java/ironwind/adapter/AdapterTest.java
@@ -61,7 +61,7 @@
     }
 
     @Test
-    void stoppedRouterSendsNothing() throws IOException {
+    void callIsNotSentAfterRouterIsStopped() throws IOException {
         assertThat(run(SETUP + CALL + "DOWN\trouter=3\n")).isEqualTo("NEXT\n");
     }
 
--- a/router/src/test/java/ironwind/net/CountersTest.java
+++ b/router/src/test/java/ironwind/net/CountersTest.java
@@ -9,7 +9,7 @@
     private final Counters counters = new Counters();
 
     @Test
-    void allCountsKeepTheirOuterNamesInOrder() {
+    void allCountsArePrintedUnderTheirExternalNames() {
         assertThat(counters.toString())
                 .isEqualTo(
                         "clients=0 rpcs=0 ok=0 pushed_back=0 aborted=0 left=0 malformed=0"
@@ -17,7 +17,7 @@
     }
 
     @Test
-    void allEndingsKeepTheirOuterNamesInOrder() {
+    void allEndingsArePrintedUnderTheirExternalNames() {
         for (Ending ending : Ending.values()) {
             counters.add(ending);
         }
--- a/router/src/test/java/ironwind/net/EndingTest.java
+++ b/router/src/test/java/ironwind/net/EndingTest.java
@@ -37,7 +37,7 @@
     }
 
     @Test
-    void onlyEndingsOfConnectionsWithoutCallOutsHaveNoOutcome() {
+    void onlyEndingsOfConnectionsHaveNoOutcome() {
         Set<Ending> withoutOutcome = EnumSet.noneOf(Ending.class);
         for (Ending ending : Ending.values()) {
             if (ending.outcome() == null) {
--- a/router/src/test/java/ironwind/net/LoopLagTest.java
+++ b/router/src/test/java/ironwind/net/LoopLagTest.java
@@ -19,8 +19,7 @@
         "950, 960, 0",
         "950, 1051, 1"
     })
-    void dataReadFromABlockedLoopMayHaveWaitedSinceItsTickWasDue(
-            long tick, long readAt, long expectedLag) {
+    void lagIsTheTimeThatTheNextTickIsOverdue(long tick, long readAt, long expectedLag) {
         Moment start = Moment.ofMillis(1_000_000);
         LoopLag lag = new LoopLag(Span.ofMillis(100), start);
         if (tick >= 0) {
--- a/router/src/test/java/ironwind/net/ShowTest.java
+++ b/router/src/test/java/ironwind/net/ShowTest.java
@@ -76,7 +76,7 @@
 
     /** {@code SHOW idle} prints them in lower case after {@code ended_}, the log unchanged. */
     @Test
-    void closeReasonsKeepTheirNames() {
+    void closeReasonNamesMatchThoseOfTheLog() {
         assertThat(Arrays.stream(CloseReason.values()).map(CloseReason::toString))
                 .containsExactly(
                         "GAVE_WAY",
