--- a/lab/src/test/java/ironwind/lab/IdleRouterTest.java
+++ b/lab/src/test/java/ironwind/lab/IdleRouterTest.java
@@ -36,7 +36,7 @@
 
 /**
  * Connection limits and overload, tested over sockets with a router between clients and stand-in
- * hosts. Executions are counted at the hosts.
+ * hosts. Executions are counted at the primary.
  */
 @Timeout(value = 30, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class IdleRouterTest {
@@ -112,7 +112,7 @@
         router.start().await(10, TimeUnit.SECONDS);
         BlockingClient first = connect();
         first.startUp();
-        first.send(Encoder.query(""));
+        first.send(Encoder.queryMessage(""));
         assertThat(first.readResponse()).isEqualTo("ready");
         first.close();
     }
@@ -127,7 +127,7 @@
         return client;
     }
 
-    /** Connects a client and has it served once. */
+    /** Connects a client and completes one read on it. */
     private BlockingClient servedClient() throws IOException {
         BlockingClient client = connect();
         assertThat(client.startUp()).isEqualTo("ready");
@@ -136,13 +136,16 @@
     }
 
     private static byte[] write(String id) {
-        return Encoder.query(
+        return Encoder.queryMessage(
                 "/* id="
                         + id
                         + ",c=write,d=4000,cluster=0,t=one */ INSERT INTO state (uid) VALUES ('k')");
     }
 
-    /** Connects clients on the event loop and has each served once; later outcomes are counted. */
+    /**
+     * Connects clients on the event loop and completes one read on each. The outcomes of later
+     * requests are counted.
+     */
     private List<AsyncClient> connectServedClients(
             int count, Map<Outcome, Integer> outcomes, CountDownLatch completed) throws Exception {
         CountDownLatch ready = new CountDownLatch(count);
@@ -225,7 +228,7 @@
     @Test
     void slowReadersAreClosedAndOthersAreServed() throws Exception {
         startRouter("owed_all = \"2MiB\"\nowed_each = \"128KiB\"\nslow_reader_time = \"300ms\"");
-        BlockingClient other = servedClient();
+        BlockingClient normalClient = servedClient();
         int count = 60;
         List<AsyncClient> slow =
                 connectServedClients(count, new EnumMap<>(Outcome.class), new CountDownLatch(1));
@@ -238,15 +241,17 @@
         long maxOwed = 0;
         long closed = 0;
         while (closed < count) {
-            assertThat(other.read("other-" + nextRequest++)).isEqualTo("ok");
-            maxOwed = Math.max(maxOwed, other.showValue("memory", "owed"));
+            assertThat(normalClient.read("other-" + nextRequest++)).isEqualTo("ok");
+            maxOwed = Math.max(maxOwed, normalClient.showValue("memory", "owed"));
             closed =
-                    other.showValue("idle", "ended_slow_reader")
-                            + other.showValue("idle", "ended_owed_too_much");
+                    normalClient.showValue("idle", "ended_slow_reader")
+                            + normalClient.showValue("idle", "ended_owed_too_much");
         }
         assertThat(maxOwed).isBetween(1L, (2L << 20) + (1 << 18));
-        assertThat(other.showValue("memory", "owed")).isZero();
-        assertThat(other.showValue("clients", "served") + other.showValue("clients", "busy"))
+        assertThat(normalClient.showValue("memory", "owed")).isZero();
+        assertThat(
+                        normalClient.showValue("clients", "served")
+                                + normalClient.showValue("clients", "busy"))
                 .isLessThanOrEqualTo(1);
     }
 
@@ -254,14 +259,14 @@
     @Test
     void partiallyWrittenResponseIsSeenAsIncomplete() throws Exception {
         startRouter("owed_all = \"2MiB\"\nowed_each = \"128KiB\"\nslow_reader_time = \"300ms\"");
-        BlockingClient other = servedClient();
+        BlockingClient normalClient = servedClient();
         BlockingClient slow = connect();
         slow.startUp();
         int requests = 400;
         for (int i = 0; i < requests; i++) {
             slow.sendRead("slow-" + i, "read", "one", "big-65536");
         }
-        while (other.showValue("idle", "ended_slow_reader") == 0) {
+        while (normalClient.showValue("idle", "ended_slow_reader") == 0) {
             Thread.sleep(20);
         }
         int complete = 0;
@@ -305,8 +310,8 @@
             assertThat(busy.get(i).readResponse()).isEqualTo("ok");
         }
         assertThat(busy.get(0).showValue("idle", "ended_all_busy")).isEqualTo(300);
-        BlockingClient newcomer = servedClient();
-        assertThat(newcomer.showValue("idle", "ended_gave_way")).isEqualTo(1);
+        BlockingClient admitted = servedClient();
+        assertThat(admitted.showValue("idle", "ended_gave_way")).isEqualTo(1);
         assertThat(primary.executionCounts()).hasSize(20).doesNotContainValue(2);
     }
 
@@ -360,9 +365,9 @@
         startRouter(
                 "memory = \"256KiB\"\nowed_all = \"64KiB\"\nowed_each = \"64KiB\"\n"
                         + "message_time = \"20s\"");
-        BlockingClient other = servedClient();
+        BlockingClient normalClient = servedClient();
         List<BlockingClient> partial = new ArrayList<>();
-        byte[] head = Arrays.copyOf(Encoder.query("x".repeat(130_000)), 60_000);
+        byte[] head = Arrays.copyOf(Encoder.queryMessage("x".repeat(130_000)), 60_000);
         int refused = 0;
         for (int i = 0; i < 6; i++) {
             BlockingClient client = connect();
@@ -388,8 +393,8 @@
             }
         }
         assertThat(refused).isBetween(3, 5);
-        assertThat(other.showValue("memory", "incoming")).isBetween(1L, 256L << 10);
-        assertThat(other.showValue("idle", "ended_no_memory")).isEqualTo(refused);
+        assertThat(normalClient.showValue("memory", "incoming")).isBetween(1L, 256L << 10);
+        assertThat(normalClient.showValue("idle", "ended_no_memory")).isEqualTo(refused);
         partial.forEach(
                 client -> {
                     try {
@@ -398,10 +403,10 @@
                         throw new IllegalStateException(e);
                     }
                 });
-        while (other.showValue("memory", "incoming") > 0) {
+        while (normalClient.showValue("memory", "incoming") > 0) {
             Thread.sleep(10);
         }
-        assertThat(other.read("after")).isEqualTo("ok");
+        assertThat(normalClient.read("after")).isEqualTo("ok");
     }
 
     @Test
@@ -444,8 +449,8 @@
     }
 
     /**
-     * Guards against startups and messages that never complete; the error and the counter tell the
-     * cases apart.
+     * Guards against connections that never complete a startup or a message, or never send a first
+     * request; the error and the counter tell the cases apart.
      */
     @ParameterizedTest(name = "{0} bytes of a startup message, {1} of a request: {2}")
     @CsvSource({
@@ -459,7 +464,7 @@
         startRouter("startup_time = \"200ms\"\nmessage_time = \"200ms\"\ngreeted_time = \"200ms\"");
         BlockingClient served = servedClient();
         BlockingClient slow = connect();
-        byte[] startupMessage = Encoder.startup("client", "core");
+        byte[] startupMessage = Encoder.startupMessage("client", "core");
         slow.send(Arrays.copyOf(startupMessage, Math.min(startupBytes, startupMessage.length)));
         if (startupBytes > startupMessage.length) {
             assertThat(slow.readResponse()).isEqualTo("ready");
--- a/router/src/main/java/ironwind/adapter/SimulatedRouter.java
+++ b/router/src/main/java/ironwind/adapter/SimulatedRouter.java
@@ -21,7 +21,7 @@
 
 /**
  * One router instance under the simulator. Resolves the ids in events to model objects, calls the
- * decision module, and writes its decisions as lines with ids.
+ * decision logic, and writes its decisions as lines with ids.
  */
 final class SimulatedRouter implements Outbound {
     private static final Map<String, Outcome> OUTCOMES =
@@ -45,7 +45,10 @@
                     "empty",
                     Outcome.INELIGIBLE);
 
-    /** The field {@code note} holds this factor times the position in ms, plus the role. */
+    /**
+     * The field {@code note} holds this factor times the position, in milliseconds from {@link
+     * Deployment#positionEpoch()}, plus the role.
+     */
     private static final int NOTE_FACTOR = 4;
 
     private static final int ROLE_PRIMARY = 1;
@@ -90,7 +93,7 @@
                         ? null
                         : deployment.customers().get(requireIndex(line, "account", count));
         double tokenAgeMs = line.getDouble("token_age_ms", 0);
-        // Rounded down, so that the position required is never too low.
+        // The age is rounded down, so that the required position is never too low.
         Moment token =
                 tokenAgeMs <= 0
                         ? Moment.NEVER
@@ -128,7 +131,7 @@
         }
         long note = line.getLong("note", 0);
         Span duration = new Span(line.getLong("lag_us", 0));
-        boolean finalAnswerSent = line.getBoolean("final");
+        boolean finalAnswerGiven = line.getBoolean("final");
         Rpc rpc = rpcs.get(id);
         if (rpc == null
                 || attempt < 0
@@ -153,7 +156,7 @@
                                 now,
                                 rpc.callOuts.get(attempt),
                                 outcome,
-                                finalAnswerSent,
+                                finalAnswerGiven,
                                 role,
                                 position,
                                 duration));
@@ -192,14 +195,13 @@
         }
     }
 
-    void settle(Moment now) {
+    void onBatchEnd(Moment now) {
         runLogic(() -> logic.onBatchEnd(now));
     }
 
     /**
-     * Runs a call of the decision module. After an exception this router ignores all further
-     * events; the exception and where it was thrown are reported to the simulator, and other
-     * routers go on.
+     * Runs a call of the decision logic. After an exception this router ignores all further events;
+     * the exception and where it was thrown are reported to the simulator, and other routers go on.
      */
     private void runLogic(Runnable call) {
         if (failed) {
@@ -237,14 +239,14 @@
     }
 
     @Override
-    public void send(CallOut callOut, Span limit) {
+    public void send(CallOut callOut, Span timeout) {
         startLine("HAND_OFF")
                 .append("\ttxn=")
                 .append(callOut.rpc.id)
                 .append("\thost=")
                 .append(callOut.host.id);
-        if (limit.us() > 0) {
-            output.append("\tlimit_us=").append(limit.us());
+        if (timeout.us() > 0) {
+            output.append("\tlimit_us=").append(timeout.us());
         }
         output.append('\n');
     }
@@ -260,10 +262,10 @@
     }
 
     @Override
-    public void pushBack(Rpc rpc, Span backoff) {
+    public void pushBack(Rpc rpc, Span retryAfter) {
         startLine("DECLINE").append("\ttxn=").append(rpc.id);
-        if (backoff.us() > 0) {
-            output.append("\tbackoff_us=").append(backoff.us());
+        if (retryAfter.us() > 0) {
+            output.append("\tbackoff_us=").append(retryAfter.us());
         }
         output.append('\n');
         removeIfDone(rpc);
--- a/router/src/main/java/ironwind/idle/MemoryBudget.java
+++ b/router/src/main/java/ironwind/idle/MemoryBudget.java
@@ -7,8 +7,11 @@
 public final class MemoryBudget {
     /** What memory is reserved for. */
     public enum Use {
-        /** Messages from clients that have arrived in part. */
-        PARTIAL_REQUESTS("incoming"),
+        /**
+         * Input from clients that is not processed yet: messages that have arrived in part, and
+         * commands that wait while reading is paused.
+         */
+        UNPROCESSED_INPUT("incoming"),
         /** Statements of RPCs that are not answered yet. */
         OPEN_RPCS("open"),
         /** Answers from hosts that have arrived in part. */
--- a/router/src/main/java/ironwind/idle/ReadScheduler.java
+++ b/router/src/main/java/ironwind/idle/ReadScheduler.java
@@ -4,11 +4,11 @@
 
 /**
  * Schedules reads when many clients send at once. Active connections, which had an answer lately,
- * are read as soon as they are readable. Inactive ones are read until the current turn ends, then
- * queued and read in FIFO order, with active connections polled between two turns. While too many
- * RPCs are open, no queued connection is read unless it has waited so long that its RPC can hardly
- * meet its deadline; that RPC is read to be pushed back, as is one that finds no memory, because
- * pushing back holds no memory.
+ * are read as soon as they are readable. Inactive ones are read until the current turn ends; later
+ * ones are queued and read in FIFO order, and active connections are polled between two turns.
+ * While too many RPCs are open, a queued connection is read only once it has waited so long that
+ * its RPC can hardly meet its deadline. Such an RPC is pushed back, as is one that there is no
+ * memory for: pushing back holds no memory.
  *
  * <p>Times are microseconds of {@link MonotonicTime}.
  */
@@ -19,7 +19,7 @@
     private int peakQueueSize;
     private long turnEndsAt;
     private long deferredReads;
-    private long lateReads;
+    private long overdueReads;
 
     /** Creates a scheduler with an empty queue. */
     public ReadScheduler(Limits limits, MemoryBudget budget) {
@@ -76,8 +76,8 @@
         if (now >= turnEndsAt || !hasEligible(now, openRpcs)) {
             return null;
         }
-        if (isFirstLate(now)) {
-            lateReads++;
+        if (isFirstOverdue(now)) {
+            overdueReads++;
         }
         return removeFirst();
     }
@@ -94,7 +94,7 @@
      * RPC has ended or the first connection has reached the maximum queue time.
      */
     public boolean hasEligible(long now, int openRpcs) {
-        return hasQueued() && (isBelowRpcThreshold(openRpcs) || isFirstLate(now));
+        return hasQueued() && (isBelowRpcThreshold(openRpcs) || isFirstOverdue(now));
     }
 
     /** Returns whether the connection is in the read queue. */
@@ -106,7 +106,7 @@
         return openRpcs < limits.openRpcThreshold();
     }
 
-    private boolean isFirstLate(long now) {
+    private boolean isFirstOverdue(long now) {
         return now - queue.first().queuedAt > limits.maxQueueTime().us();
     }
 
@@ -127,8 +127,8 @@
         return queueTime.longerThan(limits.maxQueueTime()) || !budget.hasRoomForNew(bytes);
     }
 
-    /** Records that the connection's data has been read, which resets its queue time to zero. */
-    public void markRead(TrackedConnection connection) {
+    /** Resets the connection's queue time to zero, after its data has been read. */
+    public void resetQueueTime(TrackedConnection connection) {
         connection.queuedAt = 0;
     }
 
@@ -153,7 +153,7 @@
     }
 
     /** Returns how many connections were read after more than the maximum queue time. */
-    public long lateReads() {
-        return lateReads;
+    public long overdueReads() {
+        return overdueReads;
     }
 }
--- a/router/src/main/java/ironwind/model/Host.java
+++ b/router/src/main/java/ironwind/model/Host.java
@@ -29,7 +29,10 @@
     /** When it was started; {@link Moment#NEVER} if unknown. */
     public Moment startedAt = Moment.NEVER;
 
-    /** Whether the host has reported that it is a replica. */
+    /**
+     * Whether the host has reported that it is a replica since it was last believed to be the
+     * primary.
+     */
     public boolean reportedReplica;
 
     /** Log position that it is known to have applied at least. */
@@ -79,8 +82,8 @@
     /** Earliest time of the next trial of a suspect host. */
     public Moment nextTrialAt = Moment.NEVER;
 
-    /** Trials that failed in a row; increases the time until the next one. */
-    public int failedTrials;
+    /** Trials in a row without a useful answer so far; increases the time until the next one. */
+    public int unansweredTrials;
 
     /** Whether a probe is in flight. */
     public boolean probeInFlight;
@@ -88,14 +91,17 @@
     /** When it was last probed. */
     public Moment probedAt = Moment.NEVER;
 
-    /** Whether it answered the last probe. */
+    /**
+     * Whether it answered the last probe. Reset when it becomes suspect: to false, or to true where
+     * hosts may not be probed.
+     */
     public boolean lastProbeAnswered;
 
     /**
-     * Whether it refused the connection of the last call-out immediately, and is to be probed for
-     * the cause.
+     * Whether it refused the connection of the last call-out immediately and the cause is unknown:
+     * neither a probe nor an answer has shown since whether the host runs.
      */
-    public boolean connectionRefused;
+    public boolean refusalUnexplained;
 
     /** Ejections since the last useful answer; each doubles the time of the next. */
     public int consecutiveEjections;
--- a/router/src/main/java/ironwind/model/Inbound.java
+++ b/router/src/main/java/ironwind/model/Inbound.java
@@ -23,16 +23,14 @@
     /** An RPC of a client has arrived. */
     void onRpcArrived(Moment now, Rpc rpc);
 
-    /**
-     * Whether a call-out may still be written once its connection, which took time, is established.
-     */
+    /** Returns whether a call-out may still be written, now that its connection is established. */
     boolean maySendNow(Moment now, CallOut callOut);
 
     /**
      * A call-out has ended.
      *
-     * @param closed whether the client has received the final answer to the RPC, from this call-out
-     *     or earlier
+     * @param finalAnswerGiven whether the RPC is finished: its final answer has been given, by this
+     *     call-out or earlier, or the client has left
      * @param role role that the host reported with its answer
      * @param position log position that it reported; {@link Moment#NEVER} for none
      * @param took time from sending to the outcome
@@ -41,7 +39,7 @@
             Moment now,
             CallOut callOut,
             Outcome outcome,
-            boolean closed,
+            boolean finalAnswerGiven,
             Role role,
             Moment position,
             Span took);
--- a/router/src/main/java/ironwind/net/Discovery.java
+++ b/router/src/main/java/ironwind/net/Discovery.java
@@ -46,7 +46,7 @@
     private HttpClientAgent client;
     private Address address;
     private final NameIndex names;
-    private final LogicTask logic;
+    private final LogicTask logicTask;
     private final HostConnectionPool pool;
     private final Counters counters;
     private final Log log;
@@ -59,14 +59,14 @@
     Discovery(
             Vertx vertx,
             RouterConfig config,
-            LogicTask logic,
+            LogicTask logicTask,
             HostConnectionPool pool,
             Counters counters,
             Log log) {
         this.vertx = vertx;
         this.address = config.discovery();
         this.names = config.names();
-        this.logic = logic;
+        this.logicTask = logicTask;
         this.pool = pool;
         this.counters = counters;
         this.log = log;
@@ -82,7 +82,7 @@
      * Applies the initial host list and starts polling.
      *
      * @param initialHostList a list as the discovery service would send it
-     * @param firstAnswer runs once, after the first answer of the service
+     * @param firstAnswer runs once, after the first valid answer of the service
      */
     void start(JsonObject initialHostList, Runnable firstAnswer) {
         apply(initialHostList);
@@ -93,7 +93,7 @@
 
     /**
      * Switches to another address: drops the current watch, including answers that are still in
-     * flight, and asks there for a full list. Does nothing if the address is the same.
+     * flight, and requests a full list there. Does nothing if the address is the same.
      */
     void switchTo(Address next) {
         if (!stopped && !next.equals(address)) {
@@ -166,7 +166,7 @@
                 });
     }
 
-    /** Applies an answer, but only after all of it has been parsed. */
+    /** Applies an answer after all of it has been parsed, so that a malformed one has no effect. */
     private void apply(JsonObject answer) {
         JsonArray servers = answer.getJsonArray("servers");
         boolean full = answer.getBoolean("full", true);
@@ -181,7 +181,7 @@
         version = answer.getLong("version");
         if (full || !entries.isEmpty()) {
             counters.add(Count.DISCOVERY_UPDATES);
-            logic.onDiscoveryUpdate(full, entries, () -> addresses.forEach(pool::setAddress));
+            logicTask.onDiscoveryUpdate(full, entries, () -> addresses.forEach(pool::setAddress));
         }
     }
 
@@ -207,10 +207,10 @@
                 PRIMARY.equals(server.getString("role")));
     }
 
-    /** Returns the index of a name; all names that the settings don't have share the next one. */
-    private static int indexOf(List<String> names, String name) {
-        int index = names.indexOf(name);
-        return index < 0 ? names.size() : index;
+    /** Returns the index of a name; all names that are not listed share the next free index. */
+    private static int indexOf(List<String> knownNames, String name) {
+        int index = knownNames.indexOf(name);
+        return index < 0 ? knownNames.size() : index;
     }
 
     /** Ends the watch. */
--- a/router/src/main/java/ironwind/net/HostConnection.java
+++ b/router/src/main/java/ironwind/net/HostConnection.java
@@ -27,10 +27,10 @@
     /** Whether {@link #onMessageTimeout} is scheduled. */
     private boolean messageTimeoutScheduled;
 
-    /** Bytes reserved for the received part of an answer and for the rest of its message. */
+    /** Bytes reserved for the messages of the current answer that did not arrive in one piece. */
     private int reservedBytes;
 
-    /** Bytes that reading waits for until the pool can reserve them; zero if it doesn't wait. */
+    /** Bytes that must be reserved before reading resumes; zero if it isn't paused for memory. */
     private int awaitedBytes;
 
     /** Part of {@link #reservedBytes} that belongs to the incomplete message. */
@@ -54,13 +54,13 @@
     interface Request {
         /**
          * The connection is ready: the request is to be written with {@link HostConnection#write},
-         * or given up with {@link HostConnection#releaseUnused}.
+         * or given up with {@link HostConnection#releaseUnsent}.
          */
         void onConnected();
 
         /**
          * The request has ended. The connection calls this once, and not at all after {@link
-         * HostConnection#giveUp} or {@link HostConnection#releaseUnused}.
+         * HostConnection#giveUp} or {@link HostConnection#releaseUnsent}.
          *
          * @param answer what the host sent; null if no connection could be acquired or the request
          *     was given up
@@ -90,7 +90,7 @@
     public void onConnected() {
         if (!closed) {
             socket.setReadInterest(true);
-            socket.write(Encoder.startup(USER, DATABASE));
+            socket.write(Encoder.startupMessage(USER, DATABASE));
         }
     }
 
@@ -120,7 +120,7 @@
     }
 
     /** Gives up the request before it is written, and returns the connection to the pool. */
-    void releaseUnused() {
+    void releaseUnsent() {
         request = null;
         pool.release(this);
     }
@@ -153,10 +153,10 @@
 
     private void onBytes(byte[] bytes) {
         if (ready && !isRequestWritten()) {
-            // Data behind an answer or ahead of the request's end: from here on, answers cannot be
-            // matched to requests.
+            // Data after the end of an answer, or before the request was written completely: from
+            // here on, answers cannot be matched to requests.
             pool.logUnsolicitedData(this, bytes.length);
-            end(request == null ? Ending.UNSOLICITED_DATA : Ending.LOST_BEFORE_SENT);
+            endWith(request == null ? Ending.UNSOLICITED_DATA : Ending.LOST_BEFORE_SENT);
             return;
         }
         try {
@@ -173,7 +173,7 @@
             reserveMemory();
             if (!closed && decoder.hasBufferedBytes() && !messageTimeoutScheduled) {
                 messageTimeoutScheduled = true;
-                pool.scheduleAfterConnectTimeout(
+                pool.scheduleTimeout(
                         () -> {
                             messageTimeoutScheduled = false;
                             onMessageTimeout();
@@ -185,8 +185,8 @@
     }
 
     /**
-     * Reserves memory for the rest of an incomplete message, and pauses reading until there is
-     * some. Messages that arrived completely need none: they have been passed on or dropped.
+     * Reserves memory for the whole of an incomplete message, and pauses reading until there is
+     * enough. A message that arrived in one piece needs none: the decoder no longer buffers it.
      */
     private void reserveMemory() {
         int missing =
@@ -232,12 +232,13 @@
 
     private void onMalformed(PgException cause) {
         pool.logMalformedData(this, cause);
-        end(isRequestWritten() ? Ending.MALFORMED_ANSWER : Ending.LOST_BEFORE_SENT);
+        endWith(isRequestWritten() ? Ending.MALFORMED_ANSWER : Ending.LOST_BEFORE_SENT);
     }
 
     /**
      * Ends the connection if a message has not arrived completely in time. Guards against an answer
-     * that begins and never ends: its host does not count as silent, and all others keep waiting.
+     * that begins and never ends: its host need not count as silent, and all connections that wait
+     * for memory would keep waiting.
      */
     private void onMessageTimeout() {
         if (!closed && decoder.hasBufferedBytes()) {
@@ -278,7 +279,7 @@
 
     @Override
     public void onFailure() {
-        // Deferred, because the caller of write is still at work.
+        // Deferred, because the caller may be in the middle of a write.
         pool.execute(this::onDisconnected);
     }
 
@@ -288,22 +289,22 @@
             return;
         }
         if (request == null) {
-            end(Ending.CLOSED_BY_HOST);
+            endWith(Ending.CLOSED_BY_HOST);
         } else if (answer.isComplete()) {
-            end(answer.ending());
+            endWith(answer.ending());
         } else {
-            end(isRequestWritten() ? Ending.LOST_AFTER_SENT : Ending.LOST_BEFORE_SENT);
+            endWith(isRequestWritten() ? Ending.LOST_AFTER_SENT : Ending.LOST_BEFORE_SENT);
         }
     }
 
     /** Ends the connection unless its startup sequence is complete. */
     void failConnect(Ending ending) {
         if (!closed && !ready) {
-            end(ending);
+            endWith(ending);
         }
     }
 
-    private void end(Ending ending) {
+    private void endWith(Ending ending) {
         Request ended = request;
         HostAnswer received = answer;
         request = null;
--- a/router/src/main/java/ironwind/net/Router.java
+++ b/router/src/main/java/ironwind/net/Router.java
@@ -25,19 +25,19 @@
  */
 public final class Router {
     /**
-     * By PROTOCOL, SIGKILL follows SIGTERM no sooner than after the longest deadline, counted up to
-     * this value, plus {@link #KILL_GRACE_MS}.
+     * By the protocol specification (PROTOCOL), SIGKILL follows SIGTERM no sooner than after the
+     * longest deadline, of which at most this much counts, plus {@link #KILL_GRACE_MS}.
      */
     private static final long MAX_DEADLINE_MS = 3_000;
 
     private static final long KILL_GRACE_MS = 700;
 
-    /** Part of that time that is left for writing the last answers. */
+    /** Part of the time until SIGKILL that is left for writing the last answers. */
     private static final long FINAL_WRITE_MS = 300;
 
     /**
-     * Fraction of that time in which connected clients are still served, while other routers take
-     * over.
+     * Fraction of the time until SIGKILL in which connected clients are still served, while other
+     * routers take over.
      */
     private static final double SERVING_FRACTION = 0.5;
 
@@ -49,7 +49,7 @@
 
     private final RouterConfig config;
     private final Log log;
-    private final Function<Outbound, Inbound> module;
+    private final Function<Outbound, Inbound> logicFactory;
     private final Counters counters = new Counters();
     private final Limits limits;
     private final Vertx vertx;
@@ -74,21 +74,21 @@
                 outbound -> new Logic(config.deployment(), config.seed(), outbound));
     }
 
-    /** Creates a router with the default settings and another decision module. */
-    Router(RouterConfig config, Log log, Function<Outbound, Inbound> module) {
-        this(config, OperatorSettings.defaults(config), log, module);
+    /** Creates a router with the default settings and other decision logic. */
+    Router(RouterConfig config, Log log, Function<Outbound, Inbound> logicFactory) {
+        this(config, OperatorSettings.defaults(config), log, logicFactory);
     }
 
     /**
-     * Creates a router with the operator's settings and another decision module.
+     * Creates a router with the operator's settings and other decision logic.
      *
-     * @param module creates the decision module, which is {@link Logic} otherwise
+     * @param logicFactory creates the decision logic, which is {@link Logic} otherwise
      */
     Router(
             RouterConfig config,
             OperatorSettings settings,
             Log log,
-            Function<Outbound, Inbound> module) {
+            Function<Outbound, Inbound> logicFactory) {
         this.config = config;
         // A limit above the number of descriptors would never be reached, and so no idle connection
         // would be evicted for a new one.
@@ -102,7 +102,7 @@
                     "most",
                     maxConnections);
         }
-        this.module = module;
+        this.logicFactory = logicFactory;
         this.log = log;
         this.vertx =
                 Vertx.vertx(
@@ -138,11 +138,12 @@
                                     buffers,
                                     config,
                                     budget,
-                                    config.maxHostConnections(),
+                                    config.hostDescriptors(),
                                     counters,
                                     log);
                     logicTask =
-                            new LogicTask(timers, config, module, hostConnections, counters, log);
+                            new LogicTask(
+                                    timers, config, logicFactory, hostConnections, counters, log);
                     discovery =
                             new Discovery(vertx, config, logicTask, hostConnections, counters, log);
                     clientConnections =
@@ -153,7 +154,7 @@
                                     config,
                                     limits,
                                     budget,
-                                    config.maxClientConnections(),
+                                    config.clientDescriptors(),
                                     logicTask,
                                     counters,
                                     log);
@@ -194,14 +195,14 @@
             return;
         }
         if (warmupEnabled) {
-            int maxSockets = Math.max(1, config.maxClientConnections() / 4);
+            int maxSockets = Math.max(1, config.clientDescriptors() / 4);
             clientConnections.warmUp(
                     new Warmup(
                             loop(),
                             timers,
                             buffers,
                             config,
-                            module,
+                            logicFactory,
                             maxSockets,
                             rpcs -> {
                                 log.info("rehearsed", "rpcs", rpcs);
@@ -253,7 +254,8 @@
     /**
      * Serves connected clients for a while, so that other routers can take over, then closes each
      * connection between two requests. The future completes when none is left, or else shortly
-     * before PROTOCOL allows the process to be killed; all RPCs have been answered by then.
+     * before the protocol specification allows the process to be killed; all RPCs have been
+     * answered by then.
      */
     public Future<Void> drain() {
         Promise<Void> drained = Promise.promise();
--- a/router/src/main/java/ironwind/net/Show.java
+++ b/router/src/main/java/ironwind/net/Show.java
@@ -55,12 +55,12 @@
             return null;
         }
         return switch (words[1]) {
-            case "stats" -> Encoder.row(Row.ofText("stats", counters.toString()));
+            case "stats" -> Encoder.singleRowResult(Row.ofText("stats", counters.toString()));
             case "clients" ->
-                    Encoder.table(
+                    Encoder.tableResult(
                             List.of("standing", "connections", "longest_in_it_ms"), clients());
-            case "idle" -> Encoder.table(NAME_AND_VALUE, idle());
-            case "memory" -> Encoder.table(List.of("use", "bytes", "refused"), memory());
+            case "idle" -> Encoder.tableResult(NAME_AND_VALUE, idle());
+            case "memory" -> Encoder.tableResult(List.of("use", "bytes", "refused"), memory());
             default -> null;
         };
     }
@@ -89,7 +89,7 @@
         add(rows, "waiting_for_turn", readScheduler.queueSize());
         add(rows, "most_waiting_for_turn", readScheduler.peakQueueSize());
         add(rows, "turns_deferred", readScheduler.deferredReads());
-        add(rows, "turns_too_late", readScheduler.lateReads());
+        add(rows, "turns_too_late", readScheduler.overdueReads());
         add(rows, "paused_ms", monotonicTime.skipped().us() / 1_000);
         for (CloseReason reason : CloseReason.values()) {
             add(
--- a/router/src/main/java/ironwind/net/Warmup.java
+++ b/router/src/main/java/ironwind/net/Warmup.java
@@ -28,9 +28,9 @@
 /**
  * Sends RPCs through the whole router before it reports that it is ready, so that the code that
  * serves the first clients is loaded and compiled by then. On a fraction of a core that takes
- * seconds, for which those clients would have to wait. It has a decision module, a logic task and
- * host connections of its own. The address of all its hosts is the router's own, where the router
- * recognizes the requests by their ids and answers them with {@link #answerTo}.
+ * seconds, for which those clients would have to wait. The warm-up has decision logic, a logic task
+ * and host connections of its own. All its hosts have the address of the router itself, which
+ * recognizes their requests by the ids and answers them with {@link #answerTo}.
  */
 final class Warmup {
     /** Enough RPCs for the code that serves them to reach the JVM's compilation threshold. */
@@ -65,7 +65,7 @@
     /**
      * Creates a warm-up and starts its timeout.
      *
-     * @param module creates the decision module
+     * @param logicFactory creates the decision logic
      * @param maxSockets most connections that the warm-up may open
      * @param onDone receives the number of RPCs that were started
      */
@@ -74,7 +74,7 @@
             Timers timers,
             LoopSocket.Buffers buffers,
             RouterConfig config,
-            Function<Outbound, Inbound> module,
+            Function<Outbound, Inbound> logicFactory,
             int maxSockets,
             IntConsumer onDone) {
         this.timers = timers;
@@ -93,7 +93,8 @@
                         Math.min(MAX_SOCKETS, maxSockets),
                         counters,
                         log);
-        this.logicTask = new LogicTask(timers, this.config, module, hostConnections, counters, log);
+        this.logicTask =
+                new LogicTask(timers, this.config, logicFactory, hostConnections, counters, log);
         timers.schedule(TIMEOUT, this::finish);
     }
 
@@ -172,7 +173,7 @@
         if (!ids.contains(statement.attributes().getOrDefault("id", ""))) {
             return null;
         }
-        return Encoder.row(
+        return Encoder.singleRowResult(
                 Row.ofText("val", statement.rowKey()),
                 Map.of("applied_ms", Long.toString(System.currentTimeMillis())));
     }
--- a/router/src/test/java/ironwind/net/ShowTest.java
+++ b/router/src/test/java/ironwind/net/ShowTest.java
@@ -46,7 +46,7 @@
                         .toList();
         assertThat(show.answerTo("SHOW clients"))
                 .isEqualTo(
-                        Encoder.table(
+                        Encoder.tableResult(
                                 List.of("standing", "connections", "longest_in_it_ms"), rows));
     }
 
@@ -76,7 +76,7 @@
 
     /** {@code SHOW idle} prints them in lower case after {@code ended_}, the log unchanged. */
     @Test
-    void closeReasonsKeepTheirNames() {
+    void closeReasonNamesMatchThoseOfTheLog() {
         assertThat(Arrays.stream(CloseReason.values()).map(CloseReason::toString))
                 .containsExactly(
                         "GAVE_WAY",
