--- a/router/src/main/java/ironwind/idle/ConnectionState.java
+++ b/router/src/main/java/ironwind/idle/ConnectionState.java
@@ -30,7 +30,9 @@
         this.label = label;
     }
 
-    /** Returns the name that {@code SHOW clients} prints; it differs from the constant's name. */
+    /**
+     * Returns the name that {@code SHOW clients} prints; it may differ from the constant's name.
+     */
     public String label() {
         return label;
     }
--- a/router/src/main/java/ironwind/idle/MemoryBudget.java
+++ b/router/src/main/java/ironwind/idle/MemoryBudget.java
@@ -26,7 +26,7 @@
         }
 
         /**
-         * Returns the name that {@code SHOW memory} prints; it differs from the constant's name.
+         * Returns the name that {@code SHOW memory} prints; it may differ from the constant's name.
          */
         public String label() {
             return label;
--- a/router/src/main/java/ironwind/net/Ending.java
+++ b/router/src/main/java/ironwind/net/Ending.java
@@ -63,7 +63,7 @@
     }
 
     /**
-     * Returns the name that {@code SHOW stats} prints behind {@code ended_}; it differs from the
+     * Returns the name that {@code SHOW stats} prints behind {@code ended_}; it may differ from the
      * constant's name.
      */
     public String label() {
